--- a/src/decide/announcement.hpp
+++ b/src/decide/announcement.hpp
@@ -6,41 +6,43 @@
 
 #include <optional>
 
-//! What upstreams announce of themselves in their answers, whatever the request's outcome.
+//! Announcements that an upstream makes about itself in its answers, whatever the request's
+//! outcome.
 namespace coursehead::decide {
 
-//! What an answer says of a limit on requests.
+//! Whether an answer names a limit on requests.
 enum class LimitSaid {
-    none,  //!< nothing: its upstream takes what comes
-    named, //!< so many requests a second, from all gateways together
+    none,  //!< the answer names no limit: its upstream accepts requests at any rate
+    named, //!< a limit in requests a second, for all gateways together
     unreadable,
 };
 
-//! What one answer says of the upstream that gave it.
+//! The announcements in one answer about the upstream that sent it.
 struct Announcement {
-    std::optional<Millis> backoff; //!< this gateway is to send it nothing for so long
-    bool leaving = false;          //!< it is about to end
-    std::optional<Millis> cold;    //!< it stays slow from its start for so much longer
+    std::optional<Millis> backoff; //!< this gateway must send it nothing for this long
+    bool leaving = false;          //!< the upstream is about to end
+    std::optional<Millis> cold;    //!< the upstream stays slow after its start for this much longer
     LimitSaid limit = LimitSaid::none;
-    double limitPerS = 0; //!< requests a second, where one is named
+    double limitPerS = 0; //!< requests a second, if a limit is named
 
     bool operator==( const Announcement& ) const = default;
 };
 
-//! A longer back-off is cut to this: a header that was spoiled on its way would else take an
-//! upstream from a gateway for good. Far above the seconds that overloaded servers ask for.
+//! Longer back-offs are cut to this: otherwise a header corrupted on its way would keep a gateway
+//! from using an upstream for good. Overloaded upstreams ask for seconds, far less than this.
 inline constexpr Millis longestBackoff = std::chrono::hours( 1 );
 
-//! Likewise for how long it is cold: no start takes longer.
+//! Longer cold times are cut to this, for the same reason: no start takes longer.
 inline constexpr Millis longestCold = std::chrono::minutes( 10 );
 
-//! What one start of an upstream has announced to one gateway.
+//! The announcements in force that one start of an upstream has made to one gateway.
 class Announcements {
 public:
-    //! Takes what an answer said that has come now. A back-off only ever grows: an answer that
-    //! asks for less, or for none, belongs to a request that crossed the one that asked for more.
+    //! Applies the announcements of an answer that arrived now. The end of a back-off only moves
+    //! later: an answer that asks for less, or for none, belongs to a request that was in flight
+    //! at the same time as the one whose answer asked for more.
     void take( const Announcement& said, MonoTime now );
-    //! What is left of the back-off; 0 when it takes requests.
+    //! Remaining back-off; 0 when the upstream accepts requests.
     Millis backoffLeft( MonoTime now ) const { return remaining( now, m_backoffUntil ); }
     bool leaving() const noexcept { return m_leaving; }
 
--- a/src/decide/backoff.cpp
+++ b/src/decide/backoff.cpp
@@ -7,9 +7,8 @@
 
 namespace {
 
-//! A gateway begins with one in so many of its own share of the slots: under a burst of eight times
-//! the usual load 15% more requests are answered within their goal than with all let through at
-//! once (15,499 against 13,526 of 68,400, replayed over eight seeds).
+//! A gateway starts with its share of the slots divided by this. Under a burst of eight times the
+//! usual load, 15% more requests are answered within their goal than when all are sent at once.
 constexpr int firstPart = 2;
 
 } // namespace
--- a/src/decide/backoff.hpp
+++ b/src/decide/backoff.hpp
@@ -3,25 +3,26 @@
 #define COURSEHEAD_DECIDE_BACKOFF_HPP_INCLUDED
 
 /**
- * Upstreams that have asked a gateway for a back-off, and what follows on its end. The load that
- * this answers: all upstreams of a service, or all with a model, turn requests away for seconds.
- * Until the end they are as good as gone; behind it a few requests are let through at first, or
- * all that gathered would be turned away together, with a further back-off.
+ * Slow start of upstreams whose back-off has ended. It is designed for a load in which all
+ * upstreams of a service, or all with one model, refuse requests for seconds. During the back-off
+ * an upstream gets no requests. Afterwards a gateway sends it only a few at first: if all queued
+ * requests were sent at once, the upstream would refuse them together and ask for another back-off.
  */
 namespace coursehead::decide {
 
 //! Requests that one gateway may have in flight at an upstream whose back-off has ended.
 class SlowStart {
 public:
-    //! It asked for a back-off. `slots` requests run there at once, for `gateways` gateways.
+    //! The upstream asked for a back-off. It runs `slots` requests at once, shared by `gateways`
+    //! gateways.
     void begin( int slots, int gateways );
-    //! It has served a request, or begun to.
+    //! The upstream has served a request, or started to serve one.
     void noteServed();
-    //! True when a further request may go there beside those in flight.
+    //! True when another request may be sent while `inFlight` are in flight.
     bool admits( int inFlight ) const noexcept { return m_window == 0 || inFlight < m_window; }
 
 private:
-    int m_window = 0; //!< 0: no bound
+    int m_window = 0; //!< requests that may be in flight; 0: no bound
     int m_slots = 0;
 };
 
--- a/src/decide/cold_gate.cpp
+++ b/src/decide/cold_gate.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-//! Part of what a cold upstream may be sent: the rest covers what arrives closer together than it
-//! was let through, and sends of gateways that reach nobody who counts.
+//! Part of the allowed rate that is used. The rest covers requests that arrive closer together than
+//! they were sent, and sends of gateways that can't reach a process that counts them.
 constexpr double usedPart = 0.7;
 constexpr Millis window{ 1000 };
 
--- a/src/decide/cold_gate.hpp
+++ b/src/decide/cold_gate.hpp
@@ -9,45 +9,47 @@
 
 namespace coursehead::decide {
 
-//! What an upstream bears while it is cold, over all gateways together.
+//! Rate that a cold upstream can serve, for all gateways together.
 struct ColdRule {
-    double over = 0;  //!< factor on the service's rate that may be reached
-    double slack = 0; //!< requests a second on top
+    double over = 0;  //!< factor on the service's rate for cold upstreams that may be reached
+    double slack = 0; //!< requests a second in addition
 
     bool inForce() const noexcept { return over > 0 || slack > 0; }
 };
 
-//! Requests a second that are let through to a cold upstream of a service that says it bears
-//! `perS`; 0 when no rule is in force. A part of what is allowed: requests that are let through a
-//! second apart may arrive closer together.
+//! Requests a second that all gateways together send to a cold upstream; `perS` is the rate that
+//! its service declares for cold upstreams. 0 when no rule is in force. This is only part of the
+//! allowed rate, because requests that are sent a second apart may arrive closer together.
 double coldAllowance( const ColdRule& rule, double perS );
 
 /**
- * Lets no more requests through to a cold upstream than it bears. The load that this answers: a
- * hall whose engines all come back cold and with nothing queued, which every gateway then prefers.
+ * Limits the rate of requests to a cold upstream to what it can serve. It is designed for a hall
+ * whose engines all restart: they are cold and have empty queues, so that every gateway prefers
+ * them.
  */
 class ColdGate {
 public:
-    //! `phase` in [0, 1) parts those who each let less than one request a second through.
+    //! `phase` in [0, 1) differs between gateways: it spreads the sends of gateways that each may
+    //! send less than one request a second.
     explicit ColdGate( double phase = 0 ) : m_turns( phase ) {}
 
     double phase() const noexcept { return m_turns.phase(); }
-    //! The upstream stays cold for this much longer; what was known to last longer holds.
+    //! The upstream stays cold for this much longer; a later end that is already known is kept.
     void noteCold( Millis left, MonoTime now );
     bool isCold( MonoTime now ) const { return now < m_until; }
-    //! What is left of it.
+    //! Remaining cold time.
     Millis left( MonoTime now ) const { return remaining( now, m_until ); }
-    //! Until another request may be let through, at `perS` requests a second; 0: at once.
+    //! Time until another request may be sent, at `perS` requests a second; 0: now.
     Millis wait( double perS, MonoTime now );
-    //! Counts a request that is let through.
+    //! Counts a request that is sent now.
     void take( MonoTime now );
 
 private:
     void forgetOld( MonoTime now );
 
-    Turns m_turns; //!< at less than one request a second
+    Turns m_turns; //!< used below one request a second
     MonoTime m_until;
-    std::deque<MonoTime> m_taken; //!< within the last window
+    std::deque<MonoTime> m_taken; //!< sends within the last window
 };
 
 } // namespace coursehead::decide
--- a/src/decide/evacuation.hpp
+++ b/src/decide/evacuation.hpp
@@ -11,33 +11,36 @@
 #include <vector>
 
 /**
- * Halls that are to be emptied: nothing more is sent to their upstreams until that is taken back.
- * What runs there runs on. The load that this answers: a third of the engines leave at once, some
- * of them the only ones with a model, while the demand goes on.
+ * Evacuation of halls: gateways send no more requests to the upstreams of an evacuated hall until
+ * the order is revoked. Requests that already run there continue. It is designed for a third of the
+ * engines leaving at once, some of them the only holders of a model, while demand continues.
  */
 namespace coursehead::decide {
 
-//! The bounds that say how soon.
+//! Time bounds of an evacuation.
 struct EvacuationRule {
-    Millis bound{ 0 };   //!< from the order on, for a process in touch; 0: halls are not emptied
-    Millis contact{ 0 }; //!< a process counts as in touch so long after its trouble
+    Millis bound{ 0 };   //!< from the order to the last send, if connected; 0: no evacuation
+    Millis contact{ 0 }; //!< a process counts as connected this long after its fault ends
 };
 
-//! How long after it has heard of the order a process may still send there what only that hall
-//! holds. Half of the bound leaves the other half for the way; half of the contact time covers a
-//! process that was stopped or cut off and finds the order among what waited for it.
+//! How long after receiving the order a process may still send requests to the hall for models that
+//! only that hall holds. Half of the bound leaves the other half for the order's delivery. Half of
+//! the contact time covers a process that was stopped or cut off and reads the order from a backlog
+//! of messages.
 Millis graceOf( const EvacuationRule& rule );
 
-//! The halls that one process knows to be emptied.
+//! Evacuated halls, as known to one process.
 class Evacuations {
 public:
-    //! A hall is to be emptied. `justOrdered`: heard as it happened; of one that may be older
-    //! nothing more is sent at once. True when it was not known.
+    //! Starts a hall's evacuation; true when it was not known. `justOrdered`: the order was
+    //! received as it was given, so that the grace time applies; if the order may be older, sending
+    //! stops at once.
     bool begin( const std::string& hall, bool justOrdered, const EvacuationRule& rule,
                 MonoTime now );
-    //! It was taken back; true when it was known.
+    //! Ends a hall's evacuation; true when it was known.
     bool end( const std::string& hall );
-    //! Halls that are not among `halls` were taken back while this process did not hear of it.
+    //! Known evacuations that `halls` lacks: their orders were revoked without this process
+    //! receiving the message.
     template <typename Halls>
     std::vector<std::string> missingFrom( const Halls& halls ) const {
         std::vector<std::string> out;
@@ -48,7 +51,7 @@
         }
         return out;
     }
-    //! From when on nothing is sent to a hall; nullopt when it is not emptied.
+    //! Time from which nothing is sent to a hall; nullopt when it is not evacuated.
     std::optional<MonoTime> stopAt( std::string_view hall ) const;
 
 private:
--- a/src/decide/event_pace.cpp
+++ b/src/decide/event_pace.cpp
@@ -7,13 +7,16 @@
 
 namespace {
 
-//! A few dozen streams' events: an engine's pace follows its number of streams within a second.
+//! Averages over a few dozen events: the pause follows a change in the number of streams within a
+//! second.
 constexpr double smoothing = 0.05;
-//! Short prompts lengthen a step less than the pieces of long ones, which come now and then: what
-//! reading adds is believed sooner when it is more.
+//! Weight of a sample of the added pause, when it is above or below the average. Short prompts
+//! lengthen a step less than the pieces of long prompts, which come only now and then, so larger
+//! samples get the larger weight.
 constexpr double moreSmoothing = 0.2;
 constexpr double lessSmoothing = 0.01;
-//! Below this part of reports with reading the addition is mostly error of measurement.
+//! When fewer of the reports than this part show reading, the added pause is mostly measurement
+//! error.
 constexpr double leastReading = 0.5;
 
 void smooth( std::optional<double>& value, double sample, double part ) {
--- a/src/decide/event_pace.hpp
+++ b/src/decide/event_pace.hpp
@@ -13,31 +13,32 @@
 namespace coursehead::decide {
 
 /**
- * How long an engine's streams pause between events, without prompts and with a piece of one in
- * every step, as its own reports show. Where events come in time although every step carries a
- * piece, prompts need not wait for the streams' sake. Answers the load of engines that differ: how
- * many tokens an event holds and how much a prompt lengthens a step stands in no configuration.
+ * Pause between events of an engine's streams, without prompt reading and with a prompt piece in
+ * every step, estimated from the engine's reports. If events are in time although every step reads
+ * a prompt piece, prompts need not wait to protect the streams. The pause has to be measured since
+ * engines differ: no configuration says how many tokens an event holds or how much a prompt
+ * lengthens a step.
  */
 class EventPace {
 public:
-    //! What a report says of the engine's runs; `reading`: it has prompts that it has not read
-    //! whole.
+    //! Takes the runs from an engine's report; `reading`: the engine has prompts that it has not
+    //! read completely.
     void update( std::span<const gateway::EngineRun> runs, bool reading, MonoTime now );
-    //! Pause between events while prompts are read all the time; nullopt until it was seen.
+    //! Pause between events while prompts are read continuously; nullopt until it was measured.
     std::optional<Millis> whileReading() const;
 
 private:
     struct Run {
         std::int64_t events = 0;
-        MonoTime since;  //!< when this many were first seen
-        int reports = 0; //!< since then
-        int reading = 0; //!< of those, with prompts being read
+        MonoTime since;  //!< when this number of events was first reported
+        int reports = 0; //!< reports since then
+        int reading = 0; //!< of those reports, with prompts being read
     };
     void note( const Run& run, std::int64_t events, MonoTime now );
 
     std::map<std::string, Run> m_runs;
     std::optional<double> m_calmMs; //!< pause between events without reading
-    std::optional<double> m_addMs;  //!< what reading all the time adds to it
+    std::optional<double> m_addMs;  //!< what continuous reading adds to that pause
 };
 
 } // namespace coursehead::decide
--- a/src/decide/fingerprint.cpp
+++ b/src/decide/fingerprint.cpp
@@ -11,7 +11,8 @@
 namespace coursehead::decide {
 
 Fingerprint fingerprintOf( const RequestContent& content ) {
-    // Lengths part the fields: what stands at one's end is not taken for the next one's beginning.
+    // Each field is preceded by its length, so that moving bytes from one field to the next changes
+    // the fingerprint.
     std::string head;
     for( const auto part :
          { content.organisation, content.method, content.host, content.target } ) {
--- a/src/decide/fingerprint.hpp
+++ b/src/decide/fingerprint.hpp
@@ -9,25 +9,25 @@
 
 namespace coursehead::decide {
 
-//! Stands for a request's content, the same in all its tries.
+//! Hash of a request's content, the same for all attempts.
 using Fingerprint = std::uint64_t;
 
-//! What makes two requests the same work, whatever their ids: who asks for what.
+//! The fields that make two requests equal work, whatever their ids.
 struct RequestContent {
-    std::string_view organisation; //!< empty where no key is needed
+    std::string_view organisation; //!< empty if the route needs no key
     std::string_view method;
     std::string_view host;
     std::string_view target;
     std::string_view body;
 };
 
-//! Equal for requests of equal content, in every process. Not proof against somebody who looks for
-//! another content with the same value; that harms his own organisation only.
+//! Equal for requests with equal content, in every process. It is no cryptographic hash: an
+//! attacker can find colliding contents, but only within the attacker's own organisation.
 Fingerprint fingerprintOf( const RequestContent& content );
 
-//! As it stands in logs and in the store: 16 hexadecimal digits.
+//! The form used in logs and in the store: 16 hexadecimal digits.
 std::string fingerprintText( Fingerprint fingerprint );
-//! Reads it back; nullopt when it is none.
+//! Parses that form; nullopt when the text is no fingerprint.
 std::optional<Fingerprint> readFingerprint( std::string_view text );
 
 } // namespace coursehead::decide
--- a/src/decide/gateway_count.hpp
+++ b/src/decide/gateway_count.hpp
@@ -7,17 +7,18 @@
 namespace coursehead::decide {
 
 /**
- * How many gateways share what all of them may do together, as one of them knows it: the most that
- * any sidecar has seen connected within a while. A sidecar that has just started has seen one
- * gateway, or two; taken at its word, each gateway would use the share of all.
+ * Number of gateways that share a common allowance, as one gateway knows it: the largest number of
+ * connected gateways that any sidecar has reported within the hold time. The maximum is needed
+ * because a sidecar that has just started sees only one or two gateways; with its number, each
+ * gateway would use the share of all.
  */
 class GatewayCount {
 public:
-    //! `assumed` until anybody has said anything; a larger number seen counts for `hold`.
+    //! `assumed` is used until the first report; a larger reported number is kept for `hold`.
     GatewayCount( int assumed, Millis hold ) : m_count( assumed ), m_hold( hold ) {}
 
     void setHold( Millis hold ) { m_hold = hold; }
-    //! A sidecar sees so many; true when the count has changed by it.
+    //! A sidecar reports `seen` connected gateways; true when this changes the count.
     bool note( int seen, MonoTime now );
     int count() const noexcept { return m_count; }
 
@@ -25,8 +26,8 @@
     int m_count;
     Millis m_hold;
     bool m_known = false;
-    int m_since = 1; //!< the most seen since `m_at`
-    MonoTime m_at;   //!< when as many as are counted were last seen
+    int m_since = 1; //!< largest number reported since `m_at`
+    MonoTime m_at;   //!< when the current count was last reported
 };
 
 } // namespace coursehead::decide
--- a/src/decide/homes.hpp
+++ b/src/decide/homes.hpp
@@ -7,16 +7,18 @@
 #include <string>
 #include <string_view>
 
-//! Regions in which a request may be served: its bytes go to no upstream anywhere else.
+//! Regions in which a request may be served: it is sent to no upstream in any other region.
 namespace coursehead::decide {
 
-//! The regions that a route and an organisation name; an empty list names all. Both bind.
+//! Allowed regions of a request's route and organisation; both lists apply, and an empty list
+//! allows all regions.
 struct Homes {
     std::span<const std::string> route;
     std::span<const std::string> organisation;
 };
 
-//! True when a request may be served in a region; nobody's home is a region that is not known.
+//! True when a request may be served in `region`. An unknown region is in no list, so it is allowed
+//! only where both lists are empty.
 inline bool mayServe( const Homes& homes, std::string_view region ) {
     const auto allows = [region]( std::span<const std::string> regions ) {
         return regions.empty() ||
--- a/src/decide/limit.cpp
+++ b/src/decide/limit.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-//! The time that was so long ago; what comes from another process may be anything.
+//! The time `ms` ago. `ms` is clamped, since another process may send any value.
 MonoTime timeAgo( std::int64_t ms, MonoTime now ) {
     constexpr std::int64_t longest = Millis( std::chrono::hours( 24 ) ).count();
     return now - Millis( std::clamp<std::int64_t>( ms, 0, longest ) );
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -10,65 +10,67 @@
 #include <vector>
 
 /**
- * Limits that upstreams name for all gateways together, kept by all gateways together.
+ * Limits that upstreams announce for all gateways together, and that the gateways enforce together.
  *
- * As an organisation's quota does (quota.hpp), each limit has one holder at a time among the
- * processes beside engines. Whoever knows of the limit asks it for each send, first ones and
- * retries alike. The load that this answers: a limit of one request a second before hundreds of
- * gateways, of which each alone sends less than that.
+ * Like an organisation's quota (quota.hpp), each limit has one holder at a time among the sidecars.
+ * A gateway that knows of the limit asks the holder before each send, for first attempts and
+ * retries alike. It is designed for a limit of one request a second shared by hundreds of gateways,
+ * each of which sends less than that.
  */
 namespace coursehead::decide {
 
-//! What a gateway knows of the limit of one start of an upstream.
+//! A gateway's knowledge of the limit of one start of an upstream.
 struct LimitWord {
-    std::string start;        //!< names the upstream and its start
+    std::string start;        //!< identifies the upstream and its start
     double perS = 0;          //!< requests a second
-    std::int64_t namedMs = 0; //!< so long ago it was last named
-    std::int64_t noneMs = -1; //!< so long ago the last request was sent whose answer named none;
-                              //!< negative: there was none
+    std::int64_t namedMs = 0; //!< time since the limit was last named
+    std::int64_t noneMs = -1; //!< time since the sending of the last request whose answer named
+                              //!< no limit; negative: there was no such request
 };
 
-//! A gateway tells a holder which limits it keeps there; regularly, and on change. Those that have
-//! ended lately are among them.
+//! Sent by a gateway to a holder, regularly and on change: the limits that it uses from this
+//! holder, including those that ended recently.
 struct LimitNews {
     std::string gateway;
-    int gateways = 1; //!< as many as it knows to be about
+    int gateways = 1; //!< number of gateways that the sender knows of
     std::vector<LimitWord> words;
 };
 
-//! The word on what is known of a limit that was named at some time.
+//! Builds the statement about a limit that was named at some time.
 LimitWord wordOf( std::string start, const UpstreamLimit& known, MonoTime now );
-//! Takes a word that has come now; true when it changes what is known.
+//! Applies a statement that arrived now; true when it changes the limit in force.
 bool takeWord( UpstreamLimit& known, const LimitWord& word, MonoTime now );
 
-//! Asks for leave to send one request.
+//! Asks a holder for permission to send one request.
 struct LimitAsk {
-    std::uint64_t number = 0; //!< of this gateway; the answer repeats it
+    std::uint64_t number = 0; //!< identifies the request within its gateway; the answer repeats it
     LimitWord word;
 };
 
 enum class LimitVerdict {
-    unknown, //!< the holder does not count for this gateway yet
+    unknown, //!< the holder does not count this gateway yet
     granted,
-    full,  //!< there is no room now
-    ended, //!< the upstream names no limit any more, as others have heard
+    full,  //!< the limit is used up for now
+    ended, //!< the upstream names no limit any more, as other gateways have reported
 };
 struct LimitAnswer {
     std::uint64_t number = 0;
     LimitVerdict verdict = LimitVerdict::unknown;
-    std::int64_t roomMs = 0; //!< full: until there is room, for whoever asks first
-    std::int64_t waitMs = 0; //!< full: until there is room behind those who were told so before
+    //! If full: time until the first gateway that asks could be granted a request.
+    std::int64_t roomMs = 0;
+    //! If full: time after which to retry, which allows for the requests refused earlier.
+    std::int64_t waitMs = 0;
 };
 
-//! A granted request was not sent.
+//! Returns the grant of a request that was not sent.
 struct LimitReturn {
     std::string start;
 };
 
-//! A lower limit counts as this: an upstream that is never sent anything could not say that its
+//! Lower limits are raised to this: an upstream that gets no requests could never announce that its
 //! limit has ended.
 inline constexpr double leastLimitPerS = 0.25;
-//! A higher one as this: beyond what any upstream serves.
+//! Higher limits are lowered to this, which is more than any upstream serves.
 inline constexpr double mostLimitPerS = 1e6;
 
 } // namespace coursehead::decide
--- a/src/decide/limit_book.cpp
+++ b/src/decide/limit_book.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-//! That a limit has ended is told for so long: others may have heard it named later than the
-//! request was sent by which it is known, and later ones show them.
+//! Time for which the end of a limit is reported. Other gateways may have seen the limit named
+//! after the sending of the request that showed its end; reports on later requests show them the
+//! end.
 constexpr Millis endTold{ 5000 };
-//! Part of a limit that gateways take by their own turns. The other part is for those that ask a
-//! holder meanwhile, and for turns that overlap.
+//! Part of a limit that gateways use by their own schedules. The rest is for gateways that ask a
+//! holder at the same time, and for schedules that overlap.
 constexpr double turnsPart = 0.5;
-//! An upstream without room is looked at again after this at the latest: its limit may have risen
-//! or ended.
+//! A limit that is used up is asked for again after this at the latest: it may have risen or ended
+//! in the meantime.
 constexpr Millis longestFull{ 2000 };
 
 } // namespace
--- a/src/decide/limit_book.hpp
+++ b/src/decide/limit_book.hpp
@@ -20,73 +20,74 @@
 //! One gateway's side of the limit of one start of an upstream.
 struct LimitState {
     UpstreamLimit known;
-    Turns turns;        //!< while no holder can be asked
-    MonoTime fullUntil; //!< it had no room; to be looked at again then
-    MonoTime comeBack;  //!< when those are to come back who find no room now
+    Turns turns;        //!< used while no holder can be asked
+    MonoTime fullUntil; //!< the limit is used up until then; it is asked for again afterwards
+    MonoTime comeBack;  //!< when requests that are refused now should be retried
 
-    //! Until there may be room; 0: nothing speaks against asking.
+    //! Time until the limit may have capacity again; 0: it may be asked for now.
     Millis fullLeft( MonoTime now ) const {
         return known.perS() ? remaining( now, fullUntil ) : Millis{ 0 };
     }
-    //! When to come back, for a request that finds no room.
+    //! Time after which a refused request should be retried.
     Millis comeBackLeft( MonoTime now ) const {
         return std::max( fullLeft( now ), remaining( now, comeBack ) );
     }
 };
 
-//! What became of the question whether one more request may go to an upstream with a limit.
+//! Whether one more request may be sent to an upstream with a limit, and why.
 enum class LimitOutcome {
-    granted, //!< by its holder
+    granted, //!< the holder granted it
     ended,   //!< the upstream names no limit any more
-    full,    //!< its holder has no room now
-    ownTurn, //!< nobody could be asked, and it is this gateway's turn
-    noTurn,  //!< nobody could be asked, and it is not
+    full,    //!< the holder refused it: the limit is used up for now
+    ownTurn, //!< no holder could be asked; this gateway's own schedule allows a send now
+    noTurn,  //!< no holder could be asked; this gateway's own schedule allows no send now
 };
 std::string_view nameOf( LimitOutcome outcome );
 
 struct LimitDecision {
     LimitOutcome outcome = LimitOutcome::noTurn;
-    Millis wait{ 0 }; //!< no room: when to come back
+    Millis wait{ 0 }; //!< full, noTurn: time after which to retry
 
     bool maySend() const noexcept {
         return outcome != LimitOutcome::full && outcome != LimitOutcome::noTurn;
     }
 };
 
-//! Follows what a holder answered to a question asked at `asked`, nullopt when nobody could be
-//! asked. `gateways` are about, this one included.
+//! Applies a holder's answer to a request sent at `asked`; nullopt when no holder could be asked.
+//! `gateways` is the number of gateways, this one included.
 LimitDecision followLimit( LimitState& state, const std::optional<LimitAnswer>& answer,
                            int gateways, MonoTime asked, MonoTime now );
 
-//! True while there is a word to be given: the limit is in force, or has ended lately.
+//! True while a statement about the limit has to be sent: it is in force, or ended recently.
 bool concerns( const UpstreamLimit& known, MonoTime now );
 
-//! Whom one gateway asks for which limit, and what the holders are told.
+//! Holders of the limits that one gateway uses, and the updates that it sends to them.
 class LimitBook {
 public:
-    using Words = std::map<std::string, LimitWord>; //!< by start of an upstream
+    using Words = std::map<std::string, LimitWord>; //!< by the start of an upstream
 
     LimitBook() : m_holders( QuotaRule{} ) {}
 
-    //! What this gateway knows of limits now.
+    //! Sets what this gateway knows of limits now.
     void setWords( Words words );
     bool knows( const std::string& start ) const { return m_words.contains( start ); }
-    //! True when there is nothing to tell anybody.
+    //! True when there is no update to send.
     bool idle() const { return m_words.empty() && m_told.empty(); }
     std::size_t size() const noexcept { return m_words.size(); }
-    //! Which processes may hold limits, and which answer. True when a holder has changed.
+    //! Sets the processes that may hold limits, and which of them answer. True when a holder has
+    //! changed.
     bool setCandidates( std::span<const HolderCandidate> candidates, int gateways, MonoTime now );
-    //! Whom to ask; empty while nobody can be asked.
+    //! Name of the limit's holder; empty while no holder can be asked.
     std::string holderOf( std::string_view start, MonoTime now ) const {
         return m_holders.holderOf( start, now );
     }
-    //! What a candidate that can be told now is to be told, if anything. It counts as told.
+    //! The update for a candidate that can be reached now, if there is one; it counts as sent.
     std::optional<LimitNews> takeNews( const std::string& candidate, MonoTime now );
 
 private:
-    QuotaBook m_holders; //!< chooses them as it does for organisations
+    QuotaBook m_holders; //!< chooses holders as for organisations
     Words m_words;
-    std::set<std::string> m_told; //!< candidates that count this gateway
+    std::set<std::string> m_told; //!< candidates that count this gateway for a limit
     int m_gateways = 1;
 };
 
--- a/src/decide/limit_holder.cpp
+++ b/src/decide/limit_holder.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-//! What upstreams bear beyond their limits, over all gateways: half of what a limit allows in the
-//! window, and requests that cross.
+//! What upstreams tolerate beyond their limits, from all gateways together: half of what a limit
+//! allows within the window, and a few requests that are in flight when the limit is named.
 constexpr QuotaRule limitRule{ Millis( 4000 ), 0.5, 5 };
-//! Requests that may come together where the limit was not used: one, and so many seconds of it.
+//! Burst of an unused limit: one request, and the limit's rate for this many seconds.
 constexpr double burstS = 0.5;
-//! A limit that nobody has spoken of for this long is forgotten.
+//! A limit that no gateway has mentioned for this long is forgotten.
 constexpr Millis limitMemory{ 60000 };
 
-//! The bucket that a limit is counted in.
+//! Rate and burst of the bucket that counts a limit.
 QuotaRate rateOf( const std::string& start, double perS ) {
     const double rate = std::clamp( perS, leastLimitPerS, mostLimitPerS );
     return { start, rate, 1 + rate * burstS };
--- a/src/decide/limit_holder.hpp
+++ b/src/decide/limit_holder.hpp
@@ -11,17 +11,17 @@
 
 namespace coursehead::decide {
 
-//! The limits that one process keeps for gateways.
+//! The limits that one process holds for gateways.
 class LimitHolder {
 public:
     LimitHolder();
 
-    //! A gateway says which limits it keeps here; replaces what it said before.
+    //! Applies a gateway's update, which replaces its previous one.
     void takeNews( const LimitNews& news, MonoTime now );
     LimitAnswer ask( const std::string& gateway, const LimitAsk& ask, MonoTime now );
     void takeBack( const LimitReturn& back, MonoTime now );
-    //! What has become known since the last call, for all gateways to hear: an upstream in need
-    //! would else get a first request from each of them.
+    //! Limits that changed since the last call, to be sent to all gateways: otherwise each of them
+    //! would learn of the limit only by sending a request to the overloaded upstream.
     std::vector<LimitWord> takeChanges( MonoTime now );
 
     std::size_t size() const noexcept { return m_limits.size(); }
@@ -36,7 +36,7 @@
     Limit& note( const LimitWord& word, MonoTime now );
     void forgetOld( MonoTime now );
 
-    QuotaHolder m_buckets; //!< by start; a unit is a request
+    QuotaHolder m_buckets; //!< by the upstream's start; one unit is one request
     std::map<std::string, Limit, std::less<>> m_limits;
 };
 
--- a/src/decide/link_choice.cpp
+++ b/src/decide/link_choice.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-//! The candidates in the order in which this gateway prefers to be connected to them.
+//! The candidates in this gateway's order of preference.
 std::vector<std::size_t> ranked( std::span<const LinkCandidate> candidates,
                                  std::string_view gateway ) {
     std::vector<std::tuple<Nearness, std::uint64_t, std::size_t>> order;
--- a/src/decide/link_choice.hpp
+++ b/src/decide/link_choice.hpp
@@ -8,22 +8,23 @@
 #include <vector>
 
 /**
- * Which sidecars a gateway stays connected to. The load that this answers: each connection carries
- * reports of load all the time, to a gateway that sends one request a second; with all connected to
- * all, memory and processor time of every process grow with the fleet, and what goes between halls
- * with its square.
+ * Choice of the sidecars that a gateway stays connected to. Each connection carries load reports
+ * continuously, even to a gateway that sends one request a second. If all gateways were connected
+ * to all sidecars, memory and processor time of every process would grow with the fleet, and the
+ * traffic between halls with its square.
  */
 namespace coursehead::decide {
 
-//! Connections that a gateway has at rest. Where there are fewer sidecars it is connected to all.
+//! Connections that a gateway keeps while idle; with fewer sidecars it is connected to all.
 inline constexpr std::size_t usualLinks = 64;
-//! Unused connections are closed above this, so that those that come and go with use close none.
+//! Unused connections are closed above this number. The margin keeps connections that are opened
+//! and closed with use from closing others.
 inline constexpr std::size_t mostLinks = 80;
-//! Sidecars that every gateway is connected to: they see how many gateways there are, can tell all
-//! of them something at once, and hold what gateways count together.
+//! Sidecars that every gateway is connected to: they count the gateways, can send a message to all
+//! of them at once, and hold the quotas and limits that gateways share.
 inline constexpr std::size_t commonLinks = 16;
 
-//! Where a sidecar stands, as seen from the gateway.
+//! Location of a sidecar relative to the gateway.
 enum class Nearness { sameHall, sameRegion, otherRegion };
 
 //! A sidecar that a gateway may be connected to.
@@ -31,8 +32,8 @@
     std::string_view id;
     Nearness nearness = Nearness::sameHall;
     bool open = false;
-    bool inUse = false;   //!< asked lately, or requests are in flight beside it
-    bool failing = false; //!< it could not be reached lately
+    bool inUse = false;   //!< asked recently, or requests are in flight to its engine
+    bool failing = false; //!< it could not be reached recently
 };
 
 //! Connections to open and to close, as indices of the candidates.
@@ -41,11 +42,12 @@
     std::vector<std::size_t> close;
 };
 
-//! Which sidecars all gateways are connected to; each gateway finds the same ones. All of them
-//! where there are few.
+//! Marks the sidecars that all gateways connect to; every gateway gets the same result. With few
+//! sidecars these are all of them.
 std::vector<bool> commonAmong( std::span<const LinkCandidate> candidates );
 
-//! Those in use stay; the nearest are opened beside them, spread evenly over the gateways.
+//! Keeps connections in use, and opens connections to the nearest other sidecars, spread evenly
+//! over the gateways.
 LinkChanges chooseLinks( std::span<const LinkCandidate> candidates, std::string_view gateway );
 
 } // namespace coursehead::decide
--- a/src/decide/poison.cpp
+++ b/src/decide/poison.cpp
@@ -13,8 +13,8 @@
 
 using namespace std::chrono_literals;
 
-//! Two minutes outlast a client's tries; the last is a day, since no more than three tries may
-//! follow a content's third end.
+//! Durations of the first and later quarantines. Two minutes are longer than a client keeps
+//! retrying. The last is a day, because at most three attempts may follow a content's third end.
 constexpr std::array<Millis, 4> holds{ 2min, 8min, 32min, 24h };
 
 } // namespace
--- a/src/decide/poison.hpp
+++ b/src/decide/poison.hpp
@@ -12,70 +12,72 @@
 #include <vector>
 
 /**
- * Poison requests: those that end each upstream that begins to run them.
+ * Poison requests: requests that end each upstream that starts to run them.
  *
- * Their clients send them again, as new requests, to any gateway. So ends are counted by what the
- * tries have in common, over all gateways: whoever sees an upstream end tells a few processes
- * beside engines, chosen by rendezvous hashing of the content, what was running there. At three
- * ends the content is quarantined: everybody is told, and the store keeps it for those that start
- * later. The load that this answers: up to 64 requests run beside a poison one and break with it, a
- * fifth of them twice; and a hall without power ends thousands of requests at once, of which none
- * is to blame.
+ * Clients send them again, as new requests, to any gateway. Upstream ends are therefore counted by
+ * the requests' content, over all gateways: a gateway that sees an upstream end reports the
+ * requests that were running there to a few sidecars, chosen by rendezvous hashing of the content.
+ * After three ends the content is quarantined: all gateways are notified, and the store keeps the
+ * quarantine for processes that start later. It is designed for up to 64 requests that run beside a
+ * poison request and fail with it, a fifth of them twice, and for a power loss in a hall that ends
+ * thousands of requests at once, none of which is poison.
  */
 namespace coursehead::decide {
 
-//! Upstreams that have to end under a content until it is quarantined. Two would take those for it
-//! that ran beside a poison request twice, 18 of 96 by the logs of nine seconds; each more costs an
-//! upstream.
+//! Weight of upstream ends at which a content is quarantined. With two, requests that merely ran
+//! beside a poison request twice (about one in five of those beside it) would be quarantined as
+//! well; each further end costs another upstream.
 inline constexpr double enoughEnds = 3;
-//! Who ran this long, making events, has shown that it can be run. It counts for half, not for
-//! nothing: some might end an upstream late, and six ends are the most that may be.
+//! A request that produced events for this long counts with half the weight, since it has shown
+//! that it can run. The weight is not zero, because a poison request may end an upstream late; it
+//! is a half, because at most six ends are allowed.
 inline constexpr Millis provenAfter{ 1000 };
 inline constexpr double provenWeight = 0.5;
-//! Processes that count a content's ends. An engine that ends takes the gateways' links to the
-//! process beside it with it for seconds, so one is not enough.
+//! Number of sidecars that count a content's ends. When an engine ends, the gateways' connections
+//! to its sidecar are lost for seconds, so one sidecar is not enough.
 inline constexpr std::size_t holdersOfEach = 3;
 
-//! A request that was running at an upstream when that ended.
+//! A request that was running at an upstream when the upstream ended.
 struct BrokenRun {
     Fingerprint fingerprint = 0;
     double weight = 1;   //!< as evidence
-    int quarantines = 0; //!< that its content has had before
+    int quarantines = 0; //!< earlier quarantines of its content
 };
 
-//! A gateway tells holders of an upstream's end.
+//! Sent by a gateway to holders: an upstream has ended.
 struct PoisonEvidence {
     std::string upstreamId;
     std::vector<BrokenRun> runs;
 };
 
-//! A gateway tells holders that a content has run to its end: it is not poison.
+//! Sent by a gateway to holders: a request with this content has completed, so it is not poison.
 struct PoisonCleared {
     Fingerprint fingerprint = 0;
 };
 
-//! A content that is not sent to any upstream.
+//! A content whose requests are sent to no upstream.
 struct Quarantine {
     Fingerprint fingerprint = 0;
-    int times = 1;           //!< it was quarantined so often
-    std::int64_t holdMs = 0; //!< for this much longer
+    int times = 1;           //!< number of its quarantines, this one included
+    std::int64_t holdMs = 0; //!< remaining duration
 
     bool operator==( const Quarantine& ) const = default;
 };
 
-//! What a holder, or the store, knows to be quarantined.
+//! The quarantines that a holder or the store knows of.
 struct QuarantineNews {
     std::vector<Quarantine> entries;
 };
 
-//! What a broken run counts for, by how long its upstream had made events for it; negative: none.
+//! Weight of an upstream's end as evidence against a request that had produced events for
+//! `eventsMs`; negative: it had produced none.
 double weightOf( std::int64_t eventsMs );
 
-//! How long a quarantine lasts. After each of the first ones the content gets one more try, in case
-//! that it is cured; there are three such tries at the most.
+//! Duration of a content's quarantine number `times`. After each of the first three the content
+//! gets one more attempt, in case the fault has been mended.
 Millis holdOf( int times );
 
-//! The candidates that count a content's ends: the first few by rendezvous hashing.
+//! Indices of the candidates that count a content's ends, chosen by rendezvous hashing.
 std::vector<std::size_t> holdersOf( Fingerprint fingerprint,
                                     std::span<const std::string_view> candidates );
 
--- a/src/decide/poison_book.cpp
+++ b/src/decide/poison_book.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-//! Contents remembered at the most: a hall of 200 engines that loses power breaks 12,800 requests.
+//! Maximum number of contents. A power loss in a hall of 200 engines ends 12,800 requests at once.
 constexpr std::size_t mostCases = 20000;
-//! Gateways see the end of an upstream within this of each other; it is back later than that, in
-//! some deployments under the same id.
+//! Reports about an upstream within this time are about the same end: gateways notice an end within
+//! this time of each other. An upstream takes longer to restart; in some deployments it then has
+//! the same id.
 constexpr Millis sameEnd{ 1500 };
-//! A content that ended nothing for so long begins anew.
+//! After this long without an end the count of a content starts again at zero.
 constexpr std::chrono::minutes caseLife{ 30 };
 
 } // namespace
@@ -50,7 +51,7 @@
     }
     found.ends.push_back( { upstream, now } );
     found.weight += run.weight;
-    // After a quarantine one end shows that it is poison still.
+    // After a quarantine a single end shows that the content is still poison.
     if( found.weight < m_enough && run.quarantines == 0 ) {
         return std::nullopt;
     }
--- a/src/decide/poison_book.hpp
+++ b/src/decide/poison_book.hpp
@@ -10,24 +10,26 @@
 
 namespace coursehead::decide {
 
-//! The upstreams that ended under each content, as one process was told.
+//! Counts the upstream ends of each content, as reported to one process.
 class PoisonBook {
 public:
-    //! `enough` ends of weight 1 have a content quarantined.
+    //! `enough`: weight of ends at which a content is quarantined; an end weighs 1 at most.
     explicit PoisonBook( double enough = enoughEnds ) : m_enough( enough ) {}
 
-    //! Counts an upstream's end under a content; the quarantine that it is enough for, if so. Of
-    //! one end several gateways may tell, and several requests of the same content.
+    //! Counts an upstream's end for a content, and returns the quarantine if the weight suffices.
+    //! The same end may be reported by several gateways, and for several requests with the same
+    //! content; it counts once.
     std::optional<Quarantine> note( const BrokenRun& run, std::string_view upstreamId,
                                     MonoTime now );
-    //! The content has run to its end; true when ends were counted under it.
+    //! Forgets a content, since a request with it has completed; true when ends were counted for
+    //! it.
     bool clear( Fingerprint fingerprint );
     std::size_t size() const noexcept { return m_cases.size(); }
 
 private:
-    //! An end that was counted.
+    //! A counted end of an upstream.
     struct End {
-        std::uint64_t upstream = 0; //!< hash of its id
+        std::uint64_t upstream = 0; //!< hash of the upstream's id
         MonoTime at;
     };
     struct Case {
@@ -40,7 +42,7 @@
 
     double m_enough;
     std::unordered_map<Fingerprint, Case> m_cases;
-    std::list<Fingerprint> m_oldestFirst; //!< by their last end
+    std::list<Fingerprint> m_oldestFirst; //!< contents, by the time of their last end
 };
 
 } // namespace coursehead::decide
--- a/src/decide/quarantine_list.cpp
+++ b/src/decide/quarantine_list.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-//! Quarantines remembered at the most, about 0.4 MB; the one that ends first makes way.
+//! Maximum number of quarantines, about 0.4 MB; the one that ends first is dropped for a new one.
 constexpr std::size_t mostEntries = 4096;
 
 } // namespace
--- a/src/decide/quarantine_list.hpp
+++ b/src/decide/quarantine_list.hpp
@@ -8,18 +8,19 @@
 
 namespace coursehead::decide {
 
-//! The contents that a process knows to be quarantined, or to have been.
+//! Current and past quarantines that a process knows of.
 class QuarantineList {
 public:
-    //! Takes a quarantine in; false when it was known. Of two for one content the later holds.
+    //! Adds a quarantine; false when it was known. Of two for one content, the one with the larger
+    //! number of quarantines applies.
     bool put( const Quarantine& entry, MonoTime now );
-    //! How much longer a content is not to be sent; zero when it may be.
+    //! Remaining time of a content's quarantine; zero when its requests may be sent.
     Millis left( Fingerprint fingerprint, MonoTime now ) const;
-    //! How often it was quarantined.
+    //! Number of the content's quarantines.
     int times( Fingerprint fingerprint ) const;
-    //! The content has run to its end.
+    //! Forgets a content, since a request with it has completed.
     void clear( Fingerprint fingerprint ) { m_entries.erase( fingerprint ); }
-    //! Those that hold now.
+    //! The quarantines in force.
     std::vector<Quarantine> all( MonoTime now ) const;
 
 private:
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -9,19 +9,20 @@
 #include <vector>
 
 /**
- * Quotas of organisations, kept by all gateways together.
+ * Quotas of organisations, enforced by all gateways together.
  *
- * Each organisation has one holder at a time among the processes beside engines: that which
- * rendezvous hashing gives. It keeps the organisation's bucket, and gateways obtain from it what
- * their requests take. The load that this answers: few large requests (one may be a third of a
- * second's limit) that come to many gateways in turn, so that no gateway's fixed share would hold
- * one; and gateways that are cut off, frozen or killed, of which none may lead to two buckets being
- * spent. A holder therefore grants only the part of the limit that belongs to the gateways that
- * hold to it: where they disagree, the parts add up to the limit once.
+ * Each organisation has one holder at a time among the sidecars, chosen by rendezvous hashing. The
+ * holder keeps the organisation's token bucket, and gateways request the units for their requests
+ * from it. It is designed for two loads. First, a few large requests (one may take a third of a
+ * second's limit) that reach many gateways in turn: a fixed share for each gateway would be too
+ * small for one of them. Second, gateways that are cut off, frozen or killed: none of these may
+ * cause the limit to be spent twice. A holder therefore grants only the share of the limit that
+ * belongs to the gateways that have chosen it: when gateways choose different holders, the shares
+ * still add up to one limit.
  */
 namespace coursehead::decide {
 
-//! The limit of one organisation, in units (requests or tokens).
+//! Limit of one organisation, in units (requests or tokens).
 struct QuotaRate {
     std::string organisation;
     double perS = 0;
@@ -30,58 +31,63 @@
     bool operator==( const QuotaRate& ) const = default;
 };
 
-//! The rule that limits of all organisations are judged by.
+//! How far the limits of all organisations may be exceeded.
 struct QuotaRule {
-    Millis window{ 8000 }; //!< sliding
-    double over = 0;       //!< part of the limit that may be passed, over all gateways
-    double slack = 0;      //!< units on top, over all gateways
+    Millis window{ 8000 }; //!< sliding window
+    double over = 0;       //!< allowed excess as a part of the limit, over all gateways
+    double slack = 0;      //!< allowed excess in units in addition, over all gateways
 };
 
-//! Units that may be passed beyond a limit within the rule's window, over all gateways.
+//! Units by which a limit may be exceeded within the rule's window, over all gateways.
 double allowance( const QuotaRule& rule, const QuotaRate& rate );
 
-// How the allowance is spent: gateways that can't ask, buckets that start anew, and half a second's
-// limit for grants that are spent a lease later than they were counted.
+// Parts of the allowance: for gateways that can't reach a holder (`reservePart`) and for the
+// initial level of new buckets (`startPart`). The rest covers grants that are spent up to a lease
+// after they were counted, which is half a second's limit.
 inline constexpr double reservePart = 0.25;
 inline constexpr double startPart = 0.2;
 
-//! A gateway tells a holder which organisations it obtains from there; regularly, and on change.
+//! Sent by a gateway to a holder, regularly and on change: the organisations whose units it
+//! requests from this holder.
 struct QuotaNews {
     std::string gateway;
-    std::uint64_t version = 0; //!< of the configuration that the limits are from
-    int gateways = 1;          //!< as many as it knows to be about
+    std::uint64_t version = 0; //!< version of the configuration that defines the limits
+    int gateways = 1;          //!< number of gateways that the sender knows of
     std::vector<QuotaRate> rates;
 };
 
-//! Asks for units of an organisation's limit.
+//! Requests units of an organisation's limit.
 struct QuotaAsk {
-    std::uint64_t number = 0; //!< of this gateway; the answer repeats it
+    std::uint64_t number = 0; //!< identifies the request within its gateway; the answer repeats it
     std::string organisation;
-    double needed = 0;           //!< less is of no use
-    double wished = 0;           //!< with what is expected next; `needed` at least
-    std::int64_t patienceMs = 0; //!< it may have to wait this long
+    double needed = 0;           //!< minimum; a smaller grant is of no use
+    double wished = 0;           //!< including units for requests expected next; at least `needed`
+    std::int64_t patienceMs = 0; //!< longest time that the request can wait for its units
 };
 
 struct QuotaAnswer {
     std::uint64_t number = 0;
-    bool known = false;      //!< this holder knows the organisation's limit
-    double granted = 0;      //!< 0: beyond the limit
-    std::int64_t waitMs = 0; //!< until it may be spent; if not granted, until there is room
-    std::int64_t roomMs = 0; //!< not granted: until there is room, for whoever asks first
+    bool known = false; //!< true when the holder knows the organisation's limit
+    double granted = 0; //!< units; 0: refused, as the limit is used up
+    //! Time until the grant may be spent; if refused, time after which to retry.
+    std::int64_t waitMs = 0;
+    //! If refused: time until the first gateway that asks could be granted the units.
+    std::int64_t roomMs = 0;
 };
 
-//! Units that were granted and not used.
+//! Returns units that were granted and not used.
 struct QuotaReturn {
     std::string organisation;
     double units = 0;
 };
 
-//! What was granted must be spent within this, and is lost then: units that many gateways keep in
-//! store could otherwise be spent at one moment. Half a second's limit; the rules allow about nine
-//! tenths of a second's beyond the limit in the usual window of eight seconds.
+//! Granted units expire after this time: otherwise many gateways could collect units and spend them
+//! all at once. Units granted within one lease are half a second's limit; the rules allow an excess
+//! of about nine tenths of a second's limit in the usual window of eight seconds.
 inline constexpr Millis quotaLease{ 500 };
-//! A gateway belongs to a holder for this long after it said so; a gateway that can't reach its
-//! holder waits as long before it turns to the next. Two missed messages and some delay.
+//! A holder counts a gateway for this long after the gateway's last message. A gateway that can't
+//! reach its holder waits equally long before it uses another one. The time covers two missed
+//! messages and some delay.
 inline constexpr Millis quotaMembership{ 1000 };
 
 } // namespace coursehead::decide
--- a/src/decide/quota_book.cpp
+++ b/src/decide/quota_book.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-//! One question serves about this time's requests, well within the lease.
+//! A request to a holder includes the units expected for this time, which is well within the lease.
 constexpr double aheadS = 0.2;
-//! The pace of requests is smoothed over about this time.
+//! Time over which the rate of requested units is smoothed.
 constexpr double paceS = 1.0;
-//! From the first candidate that answers, the others have this long to: while a gateway knows only
-//! some of them, its choice would differ from the others'.
+//! Time that the other candidates have to answer after the first one has. A gateway that knows only
+//! some of the candidates would choose other holders than the other gateways do.
 constexpr Millis settleTime{ 500 };
 
 } // namespace
@@ -46,7 +46,7 @@
     const bool reached =
         std::binary_search( m_answering.begin(), m_answering.end(), account.holder );
     const auto told = m_told.find( account.holder );
-    // A holder that can't be told goes on counting this gateway for a while.
+    // A holder that can't be reached still counts this gateway for a while.
     const bool counted = !account.holder.empty() && !reached && told != m_told.end();
     account.usableFrom = counted ? told->second + quotaMembership : now;
     account.holder = *best;
--- a/src/decide/quota_book.hpp
+++ b/src/decide/quota_book.hpp
@@ -14,48 +14,50 @@
 
 namespace coursehead::decide {
 
-//! A process that may hold organisations' limits, as a gateway sees it.
+//! A process that may hold organisations' limits, as known to a gateway.
 struct HolderCandidate {
     std::string name;
-    bool answers = false; //!< it was heard lately
+    bool answers = false; //!< a message from it was received recently
 };
 
 /**
- * One gateway's side of the quotas: whom it asks for an organisation, what it was granted and has
- * not spent, and what it may spend when no holder can be asked.
+ * Quota state of one gateway: each organisation's holder, the units that were granted and not yet
+ * spent, and the reserve that the gateway may spend while no holder can be asked.
  */
 class QuotaBook {
 public:
     explicit QuotaBook( const QuotaRule& rule ) : m_rule( rule ) {}
 
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
-    //! The limits in force; organisations that are not named have none.
+    //! Sets the limits in force; organisations without an entry have none.
     void setRates( std::uint64_t version, std::span<const QuotaRate> rates );
-    //! Which candidates there are, and which answer. Gives true when a holder has changed, and its
-    //! news should go out at once.
+    //! Sets the candidates, and which of them answer. True when a holder has changed; updates
+    //! should then be sent at once.
     bool setCandidates( std::span<const HolderCandidate> candidates, int gateways, MonoTime now );
-    //! What a candidate is to be told.
+    //! The update to send to a candidate.
     QuotaNews newsFor( std::string_view candidate ) const;
-    //! It was told.
+    //! An update was sent to the candidate.
     void noteTold( std::string_view candidate, MonoTime now );
 
-    //! Spends what was granted before; false when that is not enough.
+    //! Spends units granted before; false when they are too few.
     bool spend( std::string_view organisation, double units, MonoTime now );
-    //! Whom to ask for more; empty while nobody can be asked.
+    //! Name of the organisation's holder; empty while no holder can be asked.
     std::string holderOf( std::string_view organisation, MonoTime now ) const;
-    //! How many units to ask for, so that one question serves what comes next as well.
+    //! Number of units to request for a need of `units`: it includes those for the requests
+    //! expected next.
     double wishFor( std::string_view organisation, double units, MonoTime now );
-    //! Keeps what was granted to a question asked at `asked`.
+    //! Stores units that were granted to a request sent at `asked`.
     void keep( std::string_view organisation, double units, MonoTime asked );
-    //! What was granted and not spent in time, to be given back to its holders.
+    //! Units that expired before they were spent, to be returned to their holders.
     struct Unused {
         std::string holder;
         QuotaReturn back;
     };
     std::vector<Unused> takeUnused( MonoTime now );
-    //! Spends from what is this gateway's without asking: false when it is used up.
+    //! Spends units of this gateway's reserve, for which no holder is asked; false when the reserve
+    //! is used up.
     bool spendReserve( std::string_view organisation, double units, MonoTime now );
-    //! Until the reserve, or a holder, is likely to help.
+    //! Time after which the reserve or a holder is likely to have units.
     static Millis reserveWait() { return quotaMembership / 2; }
 
 private:
@@ -70,11 +72,11 @@
     struct Account {
         QuotaRate rate;
         std::string holder;
-        MonoTime usableFrom; //!< the holder may be asked from then on
+        MonoTime usableFrom; //!< time from which the holder may be asked
         std::deque<Lot> lots;
-        double unused = 0;         //!< of lots that have expired
-        std::deque<Spent> reserve; //!< what was spent of it within the window
-        double perS = 0;           //!< units asked for, smoothed
+        double unused = 0;         //!< units of lots that have expired
+        std::deque<Spent> reserve; //!< units of the reserve spent within the window
+        double perS = 0;           //!< units requested a second, smoothed
         MonoTime askedAt;
     };
 
@@ -84,10 +86,10 @@
     QuotaRule m_rule;
     std::uint64_t m_version = 0;
     int m_gateways = 1;
-    std::vector<std::string> m_answering;    //!< candidates, sorted
-    std::map<std::string, MonoTime> m_told;  //!< candidates that were told something, when last
-    std::optional<MonoTime> m_firstAnswered; //!< since when any candidate answered
-    bool m_settled = false;                  //!< all candidates answered, or had the time to
+    std::vector<std::string> m_answering;    //!< candidates that answer, sorted
+    std::map<std::string, MonoTime> m_told;  //!< time of the last update sent, by candidate
+    std::optional<MonoTime> m_firstAnswered; //!< when the first candidate answered
+    bool m_settled = false; //!< all candidates have answered, or the time for it has passed
     std::map<std::string, Account, std::less<>> m_accounts;
 };
 
--- a/src/decide/quota_bucket.cpp
+++ b/src/decide/quota_bucket.cpp
@@ -9,12 +9,14 @@
 namespace {
 
 constexpr double millisPerSecond = 1000;
-//! Part of the burst that stays for what is asked for now: the rest may be granted ahead.
+//! Part of the burst that is kept for the units that requests need now; units beyond it may be
+//! granted for requests expected next.
 constexpr double keptPart = 0.5;
-//! Times further away are not told: by then most of those who wait have left.
+//! Upper bound of the retry time: after longer waits most clients have given up.
 constexpr double longestPromiseS = 2;
-//! A bucket that started empty is by then as full as its organisation's requests let it be: limits
-//! lie above what is usual, and a burst is about a second's limit.
+//! Time for which a bucket counts as new. A bucket that started empty has recovered by then, as far
+//! as its organisation's requests allow: limits are above the usual load, and a burst is about a
+//! second's limit.
 constexpr Millis youth{ 2000 };
 
 Millis timeFor( double units, double perS ) {
--- a/src/decide/quota_bucket.hpp
+++ b/src/decide/quota_bucket.hpp
@@ -6,31 +6,32 @@
 
 namespace coursehead::decide {
 
-//! What is left of an organisation's limit. Starts without a burst: whoever kept it before may have
-//! spent one just now.
+//! Token bucket of an organisation's limit. It starts without a burst, since a previous holder may
+//! just have granted one.
 struct QuotaBucket {
-    double level = 0;    //!< units; below zero: granted ahead of time
-    double promised = 0; //!< units for which requests were told to come back
-    MonoTime at;         //!< to which both are counted
-    MonoTime since;      //!< it exists
+    double level = 0;    //!< units; negative: units were granted in advance
+    double promised = 0; //!< units of refused requests that were told when to retry
+    MonoTime at;         //!< time up to which both are counted
+    MonoTime since;      //!< when the bucket was created
 };
 
 struct QuotaGrant {
-    double units = 0; //!< 0: refused
-    Millis wait{ 0 }; //!< until they may be spent; if refused, until there is room for this one
-    Millis room{ 0 }; //!< refused: until there is room, for whoever comes first
+    double units = 0; //!< granted units; 0: refused
+    Millis wait{ 0 }; //!< time until the units may be spent; if refused, time after which to retry
+    //! If refused: time until the first request to arrive could be granted the units.
+    Millis room{ 0 };
 };
 
-//! Counts a bucket up to `now`.
+//! Adds the units earned until `now`.
 void refill( QuotaBucket& bucket, const QuotaRate& rate, MonoTime now );
 /**
- * Takes `needed` units, and up to `wished` of them while the bucket is more than half full. A
- * request larger than the burst is let in by a full bucket, and paid for afterwards. What does not
- * fit is refused, with a time at which there is room behind all that were refused before; it does
- * not wait, since units that it waits for would be missing to smaller requests that fit now (of an
- * organisation at nine times its usual, one in five of the smallest was refused for that). Only a
- * new bucket, which is empty though its organisation may have asked for nothing, grants ahead what
- * can be spent within `patience`.
+ * Takes `needed` units, and up to `wished` units while the bucket is more than half full. A request
+ * larger than the burst is granted by a full bucket, which goes below zero for it. A request that
+ * does not fit is refused, with a retry time that allows for all requests refused before it. It
+ * does not wait in the bucket, because smaller requests that fit now would lack the units reserved
+ * for it (at nine times an organisation's usual load, one in five of the smallest requests was
+ * refused for this reason). Only a new bucket, which is empty although its organisation may have
+ * requested nothing, grants units in advance, if they can be spent within `patienceMs`.
  */
 QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaAsk& ask, MonoTime now );
 void giveBack( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
--- a/src/decide/quota_holder.cpp
+++ b/src/decide/quota_holder.cpp
@@ -40,7 +40,7 @@
     const bool stays =
         now - member.heard <= quotaMembership && member.organisations == organisations;
     if( !stays ) {
-        // The parts change: what was earned until now was earned by the parts until now.
+        // The shares change: units for the time until now are added by the previous shares.
         refillAll( member.organisations, now );
         refillAll( organisations, now );
         member.organisations = std::move( organisations );
@@ -62,8 +62,9 @@
     const bool isNew = account.bucket.at == MonoTime{};
     refill( account.bucket, rate, now );
     if( isNew ) {
-        // Requests larger than what comes in while they wait would be refused though nobody has
-        // asked for anything: after a loss of power 28 reviews were.
+        // With an empty bucket, requests that need more units than are earned while they wait would
+        // be refused although no units have been requested: after a power loss 28 review requests
+        // were refused.
         const double first = startPart * allowance( m_rule, account.rate );
         account.bucket.level = std::min( first, rate.burst );
     }
@@ -96,7 +97,7 @@
     }
     member->second.heard = now;
     if( !belongs ) {
-        // Its part was not counted, so what it would be told now is no word on the limit.
+        // This gateway's share was not counted, so a refusal now would say nothing about the limit.
         return out;
     }
     out.known = true;
@@ -105,9 +106,10 @@
     out.waitMs = grant.wait.count();
     out.roomMs = grant.room.count();
     if( grant.units <= 0 ) {
-        // While the links of a fleet that starts come up, a holder has a part of a hundredth or so,
-        // and by that part a review would be told to come back after half a minute. By the time the
-        // client is back the part is whole again, or the client asks elsewhere.
+        // While a starting fleet connects, a holder's share may be about a hundredth, by which a
+        // review request would be told to retry after half a minute. The times are scaled to the
+        // whole limit: by the time the client retries, the share is whole again, or the client
+        // asks another gateway.
         const double part = partOf( ask.organisation, now );
         out.waitMs = static_cast<std::int64_t>( static_cast<double>( out.waitMs ) * part );
         out.roomMs = static_cast<std::int64_t>( static_cast<double>( out.roomMs ) * part );
--- a/src/decide/quota_holder.hpp
+++ b/src/decide/quota_holder.hpp
@@ -11,35 +11,37 @@
 namespace coursehead::decide {
 
 /**
- * The buckets that one process keeps for gateways. Of an organisation's limit it grants the part
- * `gateways that hold to it / gateways that are about`: with all in touch the whole, and on both
- * sides of a cut as much as each side's gateways count for.
+ * The buckets that one process holds for gateways. It grants a share of each organisation's limit:
+ * the number of gateways that use this holder, divided by the number of all gateways. The share is
+ * the whole limit when all gateways are connected; in a network partition each side grants a share
+ * in proportion to its gateways.
  */
 class QuotaHolder {
 public:
-    //! Gateways that were heard within the rule's window are about.
+    //! A gateway counts as present if it sent a message within the rule's window.
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
-    //! A gateway says what it obtains here; replaces what it said before.
+    //! Applies a gateway's update, which replaces its previous one.
     void takeNews( const QuotaNews& news, MonoTime now );
-    //! A gateway that asks holds to this process, however late its news are. One that did not say
-    //! so lately is told that nothing is known here; from then on it belongs again.
+    //! Answers a gateway's request for units. A gateway that asks counts as a user of this holder,
+    //! even if its updates are late. If it has sent nothing within `quotaMembership`, the answer is
+    //! that the limit is not known here, and the gateway is counted again from then on.
     QuotaAnswer ask( const std::string& gateway, const QuotaAsk& ask, MonoTime now );
     void takeBack( const QuotaReturn& back, MonoTime now );
-    //! An account that nobody obtains from any more.
+    //! Drops the account of an organisation that no gateway uses any more.
     void forget( std::string_view organisation );
 
-    //! The part of an organisation's limit that is granted here.
+    //! Share of an organisation's limit that this holder grants.
     double partOf( std::string_view organisation, MonoTime now ) const;
 
 private:
     struct Member {
         MonoTime heard;
-        int gateways = 1; //!< as many as it knows of
+        int gateways = 1; //!< number of gateways that it knows of
         std::vector<std::string> organisations;
     };
     struct Account {
         QuotaRate rate;
-        std::uint64_t version = 0; //!< of the configuration that the rate is from
+        std::uint64_t version = 0; //!< version of the configuration that defines the rate
         QuotaBucket bucket;
     };
 
--- a/src/decide/reading_queue.cpp
+++ b/src/decide/reading_queue.cpp
@@ -7,25 +7,28 @@
 
 namespace {
 
-//! Part of any gap target that may go to reading. The rest is for the streams' own steps: with
-//! pieces of 54 ms and nine steps of 10 ms and more an event, eight of nine may carry a piece.
+//! Part of any period as long as the gap target that may be used for prompt reading. The rest is
+//! for the streams' own steps: with pieces of 54 ms and events of nine steps of at least 10 ms
+//! each, eight of nine steps may read a piece.
 constexpr double readingPart = 0.7;
-//! A prompt is sent this long before the engine is expected to be free for it: about a round trip
-//! and a late loop, so that the engine does not wait for prompts.
+//! A prompt is sent this long before the engine is expected to be free, so that the engine does not
+//! wait for prompts. The time covers a round trip and a late iteration of the event loop.
 constexpr Millis sendAhead{ 15 };
-//! Estimates are no finer, and those who ask keep 120 ms back for the way: a prompt that starts
-//! this much late is not turned away for it.
+//! A prompt that starts late by no more than this is not dropped: estimates are no more precise,
+//! and gateways subtract 120 ms for transmission from the latest start time.
 constexpr Millis lateSlack{ 90 };
-//! What is left of a prompt that should have been read by now, as a part of it.
+//! Remaining work of a prompt that should have been read by now, as a part of its whole work.
 constexpr double overduePart = 0.5;
-//! A prompt that was never seen read is forgotten this long after it should have been: it may have
-//! gone with its connection.
+//! A prompt that no report shows as read is forgotten this long after its expected end: it may have
+//! been lost with its connection.
 constexpr Millis unseenLife{ 2000 };
-//! Engine time for each millisecond of named work is believed after about this much of it, and what
-//! was seen before fades by this part with each report: about half a second of reading counts.
+//! The ratio of measured engine time to stated work starts at 1, with the weight of `usualMs` of
+//! measured reading. Earlier measurements are multiplied by `fading` at each report, so that about
+//! the last half second of reading counts.
 constexpr double usualMs = 200;
 constexpr double fading = 0.92;
-//! Estimates of gateways that know nothing of a model are off by a factor of four at most.
+//! Bounds of that ratio: estimates of a gateway that has no measurements of a model are wrong by a
+//! factor of four at most.
 constexpr double leastStretch = 0.25;
 constexpr double mostStretch = 4;
 
@@ -53,8 +56,8 @@
     const auto window = std::chrono::duration_cast<MonoTime::duration>( m_gapTarget );
     const auto most = std::chrono::duration_cast<MonoTime::duration>( m_gapTarget * readingPart );
     const auto work = std::min( engineTime( workMs ), most );
-    // Goes back over what was given: the newest of it that fit into the window beside this prompt
-    // stay, and the window begins where they do.
+    // Goes back over the prompts sent, newest first, until the reading time that the window leaves
+    // beside this prompt is used up; the window starts there.
     auto room = most - work;
     for( auto it = given.rbegin(); it != given.rend(); ++it ) {
         const auto length = it->to - it->from;
@@ -89,7 +92,7 @@
 
 ReadingVerdict ReadingQueue::ask( const ReadingAsk& ask, MonoTime now ) {
     forgetOld( now );
-    // What is late already can't be made late by another one.
+    // If some waiting prompt is late already, this prompt is not refused for making others late.
     std::vector<ReadingAsk> order( m_waiting.begin(), m_waiting.end() );
     const auto at = std::upper_bound( order.begin(), order.end(), ask, startsBefore );
     const bool inTimeBefore = outlook( order, ask.key, now ).allInTime;
@@ -140,7 +143,7 @@
 
 void ReadingQueue::withdraw( std::uint64_t key, MonoTime now ) {
     std::erase_if( m_waiting, [key]( const auto& it ) { return it.key == key; } );
-    // What the engine is taken to have read stays: only the rest comes free.
+    // The part that the engine is estimated to have read still counts; only the rest is released.
     for( auto& it : m_given ) {
         if( it.key == key && it.to > now ) {
             it.to = std::max( it.from, now );
@@ -176,8 +179,9 @@
     }
 }
 
-//! Steps of streams lie between the pieces of a prompt, and gateways' estimates of a model's pace
-//! may be wrong: both show in how fast prompts are read while some are there all the time.
+//! Measures the ratio of engine time to stated work while prompts are read continuously. It differs
+//! from 1 because streams' steps lie between a prompt's pieces, and because gateways may estimate a
+//! model's reading speed wrongly.
 void ReadingQueue::learnStretch( double readMs, MonoTime now ) {
     if( !m_readingSince ) {
         return;
--- a/src/decide/reading_queue.hpp
+++ b/src/decide/reading_queue.hpp
@@ -12,73 +12,76 @@
 
 namespace coursehead::decide {
 
-//! A prompt that asks to be read by an engine.
+//! A request to have a prompt read by an engine.
 struct ReadingAsk {
-    std::uint64_t key = 0; //!< names it among all that ask
-    double workMs = 0;     //!< reading it takes the engine about this long
-    MonoTime startBy;      //!< later it is of no use to its request
+    std::uint64_t key = 0; //!< identifies the prompt among all requests
+    double workMs = 0;     //!< estimated time that the engine needs to read the prompt
+    MonoTime startBy;      //!< a later start would be of no use to the client's request
 };
 
-//! How an ask is taken.
+//! Answer to a request to read a prompt.
 struct ReadingVerdict {
     bool accepted = false;
-    Millis wait{ 0 }; //!< until the engine could begin with it, accepted or not
+    Millis wait{ 0 }; //!< time until the engine could start to read it, accepted or not
 };
 
 /**
- * The prompts that wait for one engine, and those that it was given lately. Answers the load of
- * many gateways that send to one engine at once: each alone sees a small part of it.
+ * The prompts that wait for one engine, and those that were sent to it recently. It is designed for
+ * many gateways that send to one engine at once, each of which sees only a small part of its load.
  *
- * An engine reads prompts in pieces between the steps of the streams that run there. Where every
- * step of an event carries a piece, the pause before that event passes the streams' gap target; one
- * step without a piece, and it does not. So within any gap target only a part is given to reading.
- * Prompts wait here, not in the engine, in the order of the time by which they have to start: what
- * can no longer be in time, or would make one that was accepted late, is told so when it asks.
+ * An engine reads prompts in pieces between the steps of the streams that run there. If every step
+ * of an event also reads a piece, the pause before the event exceeds the streams' gap target; with
+ * one step without a piece it does not. Within any period as long as the gap target, only a part of
+ * the time is therefore given to prompt reading. Prompts wait here, not in the engine, in the order
+ * of their latest start times. A prompt that can no longer start in time, or that would make an
+ * accepted prompt late, is refused when it is requested.
  *
- * The engine's progress is estimated from the work that asks name. Nothing rests on the estimate
- * but the order and the time of sends.
+ * The engine's progress is estimated from the work that requests state. The estimate affects only
+ * the order and the times of sends.
  */
 class ReadingQueue {
 public:
-    //! Streams' gap target; zero: prompts are read one after another without a pause.
+    //! Sets the streams' gap target; zero: prompts are read one after another without a pause.
     void setGapTarget( Millis gapTarget ) { m_gapTarget = gapTarget; }
 
-    //! Queues a prompt, or says when it could begin.
+    //! Queues a prompt, or refuses it and returns when its reading could start.
     ReadingVerdict ask( const ReadingAsk& ask, MonoTime now );
-    //! The next prompt when it may be sent now; it counts as given to the engine.
+    //! Removes and returns the next prompt if it may be sent now; it counts as sent to the engine.
     std::optional<ReadingAsk> takeNext( MonoTime now );
-    //! Takes out those that will not start in time any more: the engine was slower than expected.
+    //! Removes and returns prompts that can't start in time any more, as the engine was slower than
+    //! expected.
     std::vector<ReadingAsk> takeLate( MonoTime now );
-    //! When takeNext() will give one; nullopt while none waits.
+    //! Time from which takeNext() returns a prompt; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const;
-    //! Forgets a prompt that its request has no use for any more, queued or given but not yet read.
+    //! Removes a prompt that is no longer needed, whether it is queued, or sent but not yet read.
     void withdraw( std::uint64_t key, MonoTime now );
-    //! The engine is seen with this many prompts that it has not read whole, those on their way to
-    //! it included. It reads them in the order in which they were sent.
+    //! The engine has reported this number of prompts that it has not read completely, including
+    //! those still on their way to it. It reads prompts in the order in which they were sent.
     void noteUnread( std::size_t prompts, MonoTime now );
-    //! Forgets all: the engine has restarted.
+    //! Removes all prompts, because the engine has restarted.
     void clear();
 
-    //! Until a prompt of `workMs` without haste would begin, were it to ask now.
+    //! Time until the reading of a prompt of `workMs` without a latest start time would start, if
+    //! it were requested now.
     Millis waitFor( double workMs, MonoTime now ) const;
     std::size_t waiting() const noexcept { return m_waiting.size(); }
-    //! True while prompts wait or are taken to be read.
+    //! True while prompts wait, or the engine is estimated to be reading.
     bool busy( MonoTime now ) const;
 
 private:
-    //! Time that the engine spends on a prompt that it was given.
+    //! Estimated period in which the engine reads a prompt that was sent to it.
     struct Span {
         std::uint64_t key = 0;
         double workMs = 0;
         MonoTime from;
         MonoTime to;
-        bool read = false; //!< as the engine shows
+        bool read = false; //!< the engine's reports show that it was read
     };
     using Given = std::deque<Span>;
 
     MonoTime startOf( const Given& given, double workMs, MonoTime earliest ) const;
     MonoTime place( Given& given, const ReadingAsk& ask, MonoTime now ) const;
-    //! Whether all that wait start in time; with the start of the one named `key`.
+    //! Whether all waiting prompts start in time, and the start of the prompt `key`.
     struct Outlook {
         bool allInTime = true;
         MonoTime start;
@@ -89,12 +92,12 @@
     void learnStretch( double readMs, MonoTime now );
 
     Millis m_gapTarget{ 0 };
-    //! Engine time that was seen to go into prompts, and the work that asks named for these.
+    //! Measured engine time for prompts, and the work that requests stated for the same prompts.
     double m_seenMs = 0;
     double m_namedMs = 0;
-    std::optional<MonoTime> m_readingSince; //!< last report, if prompts were being read then
-    Given m_given;                          //!< in order, without overlaps
-    std::deque<ReadingAsk> m_waiting;       //!< the one that has to start first at the front
+    std::optional<MonoTime> m_readingSince; //!< time of the last report, if prompts were being read
+    Given m_given;                    //!< prompts sent to the engine, in order, without overlaps
+    std::deque<ReadingAsk> m_waiting; //!< ordered by latest start time
 };
 
 } // namespace coursehead::decide
--- a/src/decide/recall.hpp
+++ b/src/decide/recall.hpp
@@ -9,29 +9,29 @@
 #include <vector>
 
 /**
- * What an engine that starts anew takes in before anybody asks. The load that it answers: an engine
- * or all of them come back empty while requests go on; loads take about a second each, one at a
- * time, and those that requests call for begin only when the requests have found the engine.
+ * Models that a restarted engine loads before requests ask for them. It is designed for one engine,
+ * or all engines, restarting without models while requests continue. Loads take about a second
+ * each, one at a time, and a load on request starts only when the request has reached the engine.
  */
 namespace coursehead::decide {
 
-//! A model that an engine held before.
+//! A model that an engine held before its restart.
 struct FormerModel {
     std::string model;
-    int copies = 1; //!< in the fleet then
+    int copies = 1; //!< in the fleet at that time
 };
 
 struct Recall {
-    std::vector<FormerModel> models; //!< those still to be taken in
-    bool everywhere = false;         //!< all engines started anew, not this one alone
+    std::vector<FormerModel> models; //!< models still to be loaded
+    bool everywhere = false;         //!< all engines have restarted, not only this one
 };
 
 /**
- * The next model to take in; it is removed from `recall`, with all that `isNear` denies (its
- * weights are not on this VM: the weight store's rate is for requests). Where all engines are empty
- * the busy models go first, those with several copies: the first at each engine by `draw` in [0,
- * 1), so that over the fleet each gets its part. Where one engine is, the models that nobody else
- * holds.
+ * Removes the next model to load from `recall` and returns it. Models for which `isNear` is false
+ * are removed as well: their weights are not on this VM, and the weight store's rate is kept for
+ * requests. If all engines are empty, busy models (those with several copies) are loaded first; the
+ * random number `draw` in [0, 1) chooses among them, so that each gets its share over the fleet. If
+ * only this engine is empty, models that no other engine holds are loaded first.
  */
 std::optional<std::string>
 takeNext( Recall& recall, const std::function<bool( std::string_view )>& isNear, double draw );
--- a/src/decide/replica_rule.cpp
+++ b/src/decide/replica_rule.cpp
@@ -6,13 +6,13 @@
 namespace {
 
 constexpr double millisPerSecond = 1000;
-//! Part of its time that each copy of a model spends on reading that model's prompts, from which
-//! another copy is started. An engine holds three models; above a third in all, prompts queue.
+//! Load of each copy above which another copy is started, as a part of its engine's time. An engine
+//! holds three models; when each of them is above a third, prompts queue.
 constexpr double replicaLoad = 0.35;
 constexpr Millis replicaPause{ 1000 };
-//! Gateways that act on the same load in one round, on average.
+//! Average number of gateways that act on the same load at a time.
 constexpr double replicaActors = 1.5;
-//! What a sidecar said is taken to hold this long: demand is smoothed over about two seconds.
+//! A reported load is used for this long; reported demand is smoothed over about two seconds.
 constexpr Millis loadAge{ 1500 };
 
 } // namespace
--- a/src/decide/replica_rule.hpp
+++ b/src/decide/replica_rule.hpp
@@ -4,29 +4,30 @@
 
 #include "coursehead/kernel/clock.hpp"
 
-//! When a model gets another copy. The load that it answers: many models of which most are asked
-//! for now and then, by single long prompts that come to any of many gateways.
+//! When a model gets another copy. It is designed for many models, most of which get only
+//! occasional requests with single long prompts, at any of many gateways.
 namespace coursehead::decide {
 
-//! How much a model is asked for, and where it lies.
+//! Demand for a model, and its copies.
 struct ModelLoad {
     double workPerS = 0;  //!< milliseconds of prompt reading a second, over all gateways
-    MonoTime toldAt;      //!< when a sidecar beside one of the copies said so
-    int copies = 0;       //!< as the sidecars report
-    MonoTime lastReplica; //!< when this gateway last had one added
+    MonoTime toldAt;      //!< when a sidecar of one of the copies reported it
+    int copies = 0;       //!< number of copies, as reported by the sidecars
+    MonoTime lastReplica; //!< when this gateway last requested a copy
 };
 
-//! Part of its time that each copy spends on reading the model's prompts.
+//! Part of its time that each copy's engine spends on reading the model's prompts.
 double copyLoad( const ModelLoad& load );
 
 /**
  * Whether this gateway should have a copy added now. All gateways know about the same load, so each
- * acts now and then, together often enough: `draw` is uniform in [0, 1).
+ * acts only with a certain probability, such that together they act often enough; `draw` is a
+ * random number, uniform in [0, 1).
  *
- * The load has to be that of all gateways, as the sidecars sum it up. One gateway's own requests
- * times the number of gateways is right in the mean, but a single prompt for a rare model then
- * looks like one at every gateway: models with ten requests in half a minute were given five
- * copies, and 300 of 350 loads pushed out another model.
+ * The load has to be that of all gateways, as summed up by the sidecars. One gateway's own requests
+ * times the number of gateways is right on average, but makes a single prompt for a rare model look
+ * like one at every gateway: models with ten requests in half a minute were given five copies, and
+ * 300 of 350 loads evicted another model.
  */
 bool wantsReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
 
--- a/src/decide/smoothed_rate.hpp
+++ b/src/decide/smoothed_rate.hpp
@@ -8,10 +8,10 @@
 
 namespace coursehead::decide {
 
-//! How much of something comes a second; what is past counts ever less.
+//! Exponentially smoothed rate: the sum of amounts a second, with older amounts weighted less.
 class SmoothedRate {
 public:
-    //! What is `memory` old counts about a third.
+    //! An amount of age `memory` counts with about a third of its weight.
     explicit SmoothedRate( Millis memory ) : m_memory( memory ) {}
 
     void note( double amount, MonoTime now ) {
--- a/src/decide/store_position.hpp
+++ b/src/decide/store_position.hpp
@@ -5,12 +5,13 @@
 #include <compare>
 #include <cstdint>
 
-//! Positions in the store's history, which may break off and go on from an older copy.
+//! Positions in the store's history. The store may be restored from an older copy, after which its
+//! history continues from that copy.
 namespace coursehead::decide {
 
 /**
- * A revision is worth nothing without its era: a store that comes back from a copy gives revisions
- * out again. Eras count how often it did; 0 where a store doesn't say.
+ * A revision is unique only together with its era: a store that is restored from a copy assigns
+ * revisions again. The era counts the restores; it is 0 if the store does not report one.
  */
 struct StorePosition {
     std::uint64_t era = 0;
@@ -20,22 +21,23 @@
 };
 
 /**
- * A fencing token that rises with the store's history: one taken from the revision alone would be
- * lower after the store has come back from a copy, and orders with it refused.
+ * A fencing token that rises with the store's history. A token made of the revision alone would be
+ * lower after the store was restored from a copy, and orders with it would be refused.
  */
 inline std::uint64_t fencingToken( StorePosition position ) noexcept {
     constexpr int revisionBits = 32;
     return ( position.era << revisionBits ) + position.revision;
 }
 
-//! For a deployment's first start: lower than what any later start is given.
+//! Fencing token of a deployment's first start, lower than that of any later start.
 inline constexpr std::uint64_t firstFence = 1;
 
-//! What is told at a position to somebody who knows everything up to another.
+//! Relation of a received position to the position up to which the receiver knows everything.
 enum class Continuity {
-    follows,      //!< it goes on from what is known
-    former,       //!< it is older than what is known
-    otherHistory, //!< the store has come back from a copy: only the whole says what holds
+    follows,      //!< continues the known history
+    former,       //!< older than the known position
+    otherHistory, //!< the store was restored from a copy: only a complete snapshot shows the
+                  //!< current state
 };
 
 inline Continuity continuityOf( StorePosition known, StorePosition told ) noexcept {
--- a/src/decide/turns.cpp
+++ b/src/decide/turns.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Millis longestTurn{ 1000 };
-//! A period beyond this is as good as never, and keeps the arithmetic within its range.
+//! Longer periods are cut to this, so that the arithmetic does not overflow.
 constexpr double longestPeriodMs = 24 * 3600 * 1000.0;
 constexpr double millisPerSecond = 1000;
 
--- a/src/decide/turns.hpp
+++ b/src/decide/turns.hpp
@@ -9,21 +9,22 @@
 namespace coursehead::decide {
 
 /**
- * One gateway's turns to send where it can ask nobody who counts for all. The load that this
- * answers: hundreds of gateways before an upstream that takes one request a second. Each may send
- * once in a period that is as long as they are many; were that at any moment of the period, all
- * that had nothing to send for a while would send at once when a burst comes. So a turn lasts a
- * second at most, and the phase parts the gateways' turns.
+ * Schedule of one gateway's sends to an upstream while it can ask no process that counts for all
+ * gateways. It is designed for hundreds of gateways that share an upstream with a rate of one
+ * request a second. Each gateway may send once in a period whose length grows with the number of
+ * gateways. If it could send at any time of the period, all gateways that were idle for a while
+ * would send at once when a burst comes. A send window therefore lasts a second at most, and the
+ * phase spreads the gateways' windows over the period.
  */
 class Turns {
 public:
-    //! `phase` in [0, 1) is the gateway's own.
+    //! `phase` in [0, 1) differs between gateways.
     explicit Turns( double phase = 0 ) : m_phase( phase ) {}
 
     double phase() const noexcept { return m_phase; }
-    //! Until this gateway may send, at `perS` requests a second of its own; 0: now.
+    //! Time until this gateway may send, at `perS` requests a second for it alone; 0: now.
     Millis wait( double perS, MonoTime now ) const;
-    //! Counts a send.
+    //! Counts a request that is sent now.
     void take( MonoTime now ) { m_last = now; }
 
 private:
--- a/src/decide/upstream_limit.hpp
+++ b/src/decide/upstream_limit.hpp
@@ -9,26 +9,26 @@
 namespace coursehead::decide {
 
 /**
- * What is known of the limit of one start of an upstream: the requests a second that it takes from
- * all gateways together, for as long as its answers say so.
+ * Known limit of one start of an upstream: the requests a second that it accepts from all gateways
+ * together, for as long as its answers name the limit.
  */
 class UpstreamLimit {
 public:
-    //! An answer named a limit at `at`. True when that changes what is known.
+    //! An answer named a limit at `at`. True when this changes the limit in force.
     bool noteNamed( double perS, MonoTime at );
-    //! An answer named none; its request was sent at `sent`. Only one to a request that was sent
-    //! after the limit was last named shows that it has ended: others may have crossed. True when
-    //! it has, `now`.
+    //! An answer named no limit; its request was sent at `sent`. It shows that the limit has ended
+    //! only if the request was sent after the limit was last named: an answer to an earlier request
+    //! may be older than the limit. True when the limit has ended `now`.
     bool noteNone( MonoTime sent, MonoTime now );
 
-    //! The limit in force; nullopt: none.
+    //! The limit in force; nullopt if there is none.
     std::optional<double> perS() const;
-    //! The limit that was named last, in force or not.
+    //! The limit that was named last, even if it has ended.
     double lastPerS() const noexcept { return m_perS; }
-    //! When it was last named, and when a request was sent whose answer named none.
+    //! When the limit was last named, and when the last request was sent whose answer named none.
     MonoTime namedAt() const noexcept { return m_namedAt; }
     MonoTime noneAt() const noexcept { return m_noneAt; }
-    //! When it was last seen to have ended.
+    //! When the limit was last seen to have ended.
     MonoTime endedAt() const noexcept { return m_endedAt; }
 
 private:
--- a/src/decide/whole_runs.hpp
+++ b/src/decide/whole_runs.hpp
@@ -10,15 +10,16 @@
 namespace coursehead::decide {
 
 /**
- * Contents that have run to their end lately. The first end under one after that is not held
- * against it: lookups that many callers make alike would otherwise gather the ends of a whole
- * service. Only the first: what ran well before may be poison for the next version of a model. A
- * later content takes the place of an earlier one now and then; 32 KB.
+ * Contents of requests that completed recently. The first upstream end of such a content is not
+ * counted as poison evidence: identical lookups from many callers would otherwise collect the ends
+ * of a whole service. Only the first end is excused, because a content that completed before may be
+ * poison for the next version of a model. The table is a direct-mapped cache of 32 KB, so that a
+ * content may overwrite an earlier one.
  */
 class WholeRuns {
 public:
     void note( Fingerprint fingerprint ) { m_places[fingerprint % m_places.size()] = fingerprint; }
-    //! True once for each time that the content was noted.
+    //! True if the content was noted since the last call for it; removes it.
     bool forgive( Fingerprint fingerprint ) {
         auto& place = m_places[fingerprint % m_places.size()];
         return place == fingerprint && std::exchange( place, 0 ) != 0;
