--- a/src/decide/announcement.hpp
+++ b/src/decide/announcement.hpp
@@ -11,7 +11,7 @@
 namespace coursehead::decide {
 
 //! Whether an answer names a limit on requests.
-enum class LimitSaid {
+enum class LimitAnnouncement {
     none,  //!< the answer names no limit: its upstream accepts requests at any rate
     named, //!< a limit in requests a second, for all gateways together
     unreadable,
@@ -22,7 +22,7 @@
     std::optional<Millis> backoff; //!< this gateway must send it nothing for this long
     bool leaving = false;          //!< the upstream is about to end
     std::optional<Millis> cold;    //!< the upstream stays slow after its start for this much longer
-    LimitSaid limit = LimitSaid::none;
+    LimitAnnouncement limit = LimitAnnouncement::none;
     double limitPerS = 0; //!< requests a second, if a limit is named
 
     bool operator==( const Announcement& ) const = default;
@@ -30,13 +30,13 @@
 
 //! Longer back-offs are cut to this: otherwise a header corrupted on its way would keep a gateway
 //! from using an upstream for good. Overloaded upstreams ask for seconds, far less than this.
-inline constexpr Millis longestBackoff = std::chrono::hours( 1 );
+inline constexpr Millis maxBackoff = std::chrono::hours( 1 );
 
 //! Longer cold times are cut to this, for the same reason: no start takes longer.
-inline constexpr Millis longestCold = std::chrono::minutes( 10 );
+inline constexpr Millis maxColdTime = std::chrono::minutes( 10 );
 
 //! The announcements in force that one start of an upstream has made to one gateway.
-class Announcements {
+class AnnouncedState {
 public:
     //! Applies the announcements of an answer that arrived now. The end of a back-off only moves
     //! later: an answer that asks for less, or for none, belongs to a request that was in flight
--- a/src/decide/whole_runs.hpp
+++ b/src/decide/completed_runs.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
 
 #include "decide/poison.hpp"
 
@@ -16,11 +16,11 @@
  * poison for the next version of a model. The table is a direct-mapped cache of 32 KB, so that a
  * content may overwrite an earlier one.
  */
-class WholeRuns {
+class CompletedRuns {
 public:
     void note( Fingerprint fingerprint ) { m_places[fingerprint % m_places.size()] = fingerprint; }
     //! True if the content was noted since the last call for it; removes it.
-    bool forgive( Fingerprint fingerprint ) {
+    bool consume( Fingerprint fingerprint ) {
         auto& place = m_places[fingerprint % m_places.size()];
         return place == fingerprint && std::exchange( place, 0 ) != 0;
     }
@@ -32,4 +32,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
--- a/src/decide/evacuation.hpp
+++ b/src/decide/evacuation.hpp
@@ -27,7 +27,7 @@
 //! only that hall holds. Half of the bound leaves the other half for the order's delivery. Half of
 //! the contact time covers a process that was stopped or cut off and reads the order from a backlog
 //! of messages.
-Millis graceOf( const EvacuationRule& rule );
+Millis evacuationGrace( const EvacuationRule& rule );
 
 //! Evacuated halls, as known to one process.
 class Evacuations {
--- a/src/decide/event_pace.hpp
+++ b/src/decide/event_pace.hpp
@@ -25,7 +25,7 @@
     //! read completely.
     void update( std::span<const gateway::EngineRun> runs, bool reading, MonoTime now );
     //! Pause between events while prompts are read continuously; nullopt until it was measured.
-    std::optional<Millis> whileReading() const;
+    std::optional<Millis> pauseWhileReading() const;
 
 private:
     struct Run {
--- a/src/decide/fingerprint.hpp
+++ b/src/decide/fingerprint.hpp
@@ -28,7 +28,7 @@
 //! The form used in logs and in the store: 16 hexadecimal digits.
 std::string fingerprintText( Fingerprint fingerprint );
 //! Parses that form; nullopt when the text is no fingerprint.
-std::optional<Fingerprint> readFingerprint( std::string_view text );
+std::optional<Fingerprint> parseFingerprint( std::string_view text );
 
 } // namespace coursehead::decide
 
--- a/src/decide/limit_book.hpp
+++ b/src/decide/gateway_limits.hpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
 
+#include "decide/gateway_quotas.hpp"
 #include "decide/limit.hpp"
-#include "decide/quota_book.hpp"
-#include "decide/turns.hpp"
+#include "decide/send_schedule.hpp"
 #include "decide/upstream_limit.hpp"
 
 #include <algorithm>
@@ -20,17 +20,17 @@
 //! One gateway's side of the limit of one start of an upstream.
 struct LimitState {
     UpstreamLimit known;
-    Turns turns;        //!< used while no holder can be asked
+    SendSchedule sendSchedule; //!< used while no holder can be asked
     MonoTime fullUntil; //!< the limit is used up until then; it is asked for again afterwards
-    MonoTime comeBack;  //!< when requests that are refused now should be retried
+    MonoTime retryAt;   //!< when requests that are refused now should be retried
 
     //! Time until the limit may have capacity again; 0: it may be asked for now.
     Millis fullLeft( MonoTime now ) const {
         return known.perS() ? remaining( now, fullUntil ) : Millis{ 0 };
     }
     //! Time after which a refused request should be retried.
-    Millis comeBackLeft( MonoTime now ) const {
-        return std::max( fullLeft( now ), remaining( now, comeBack ) );
+    Millis retryLeft( MonoTime now ) const {
+        return std::max( fullLeft( now ), remaining( now, retryAt ) );
     }
 };
 
@@ -55,21 +55,21 @@
 
 //! Applies a holder's answer to a request sent at `asked`; nullopt when no holder could be asked.
 //! `gateways` is the number of gateways, this one included.
-LimitDecision followLimit( LimitState& state, const std::optional<LimitAnswer>& answer,
-                           int gateways, MonoTime asked, MonoTime now );
+LimitDecision applyLimitAnswer( LimitState& state, const std::optional<LimitAnswer>& answer,
+                                int gateways, MonoTime asked, MonoTime now );
 
 //! True while a statement about the limit has to be sent: it is in force, or ended recently.
-bool concerns( const UpstreamLimit& known, MonoTime now );
+bool isReportable( const UpstreamLimit& known, MonoTime now );
 
 //! Holders of the limits that one gateway uses, and the updates that it sends to them.
-class LimitBook {
+class GatewayLimits {
 public:
-    using Words = std::map<std::string, LimitWord>; //!< by the start of an upstream
+    using Statements = std::map<std::string, LimitStatement>; //!< by the start of an upstream
 
-    LimitBook() : m_holders( QuotaRule{} ) {}
+    GatewayLimits() : m_holders( QuotaRule{} ) {}
 
     //! Sets what this gateway knows of limits now.
-    void setWords( Words words );
+    void setStatements( Statements statements );
     bool knows( const std::string& start ) const { return m_words.contains( start ); }
     //! True when there is no update to send.
     bool idle() const { return m_words.empty() && m_told.empty(); }
@@ -82,15 +82,15 @@
         return m_holders.holderOf( start, now );
     }
     //! The update for a candidate that can be reached now, if there is one; it counts as sent.
-    std::optional<LimitNews> takeNews( const std::string& candidate, MonoTime now );
+    std::optional<LimitUpdate> takeUpdate( const std::string& candidate, MonoTime now );
 
 private:
-    QuotaBook m_holders; //!< chooses holders as for organisations
-    Words m_words;
+    GatewayQuotas m_holders; //!< chooses holders as for organisations
+    Statements m_words;
     std::set<std::string> m_told; //!< candidates that count this gateway for a limit
     int m_gateways = 1;
 };
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
--- a/src/decide/quota_book.hpp
+++ b/src/decide/gateway_quotas.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
 
 #include "decide/quota.hpp"
 
@@ -24,9 +24,9 @@
  * Quota state of one gateway: each organisation's holder, the units that were granted and not yet
  * spent, and the reserve that the gateway may spend while no holder can be asked.
  */
-class QuotaBook {
+class GatewayQuotas {
 public:
-    explicit QuotaBook( const QuotaRule& rule ) : m_rule( rule ) {}
+    explicit GatewayQuotas( const QuotaRule& rule ) : m_rule( rule ) {}
 
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
     //! Sets the limits in force; organisations without an entry have none.
@@ -35,9 +35,9 @@
     //! should then be sent at once.
     bool setCandidates( std::span<const HolderCandidate> candidates, int gateways, MonoTime now );
     //! The update to send to a candidate.
-    QuotaNews newsFor( std::string_view candidate ) const;
+    QuotaUpdate updateFor( std::string_view candidate ) const;
     //! An update was sent to the candidate.
-    void noteTold( std::string_view candidate, MonoTime now );
+    void noteUpdateSent( std::string_view candidate, MonoTime now );
 
     //! Spends units granted before; false when they are too few.
     bool spend( std::string_view organisation, double units, MonoTime now );
@@ -45,9 +45,9 @@
     std::string holderOf( std::string_view organisation, MonoTime now ) const;
     //! Number of units to request for a need of `units`: it includes those for the requests
     //! expected next.
-    double wishFor( std::string_view organisation, double units, MonoTime now );
+    double amountToRequest( std::string_view organisation, double units, MonoTime now );
     //! Stores units that were granted to a request sent at `asked`.
-    void keep( std::string_view organisation, double units, MonoTime asked );
+    void addGrant( std::string_view organisation, double units, MonoTime asked );
     //! Units that expired before they were spent, to be returned to their holders.
     struct Unused {
         std::string holder;
@@ -95,4 +95,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -20,31 +20,31 @@
 namespace coursehead::decide {
 
 //! A gateway's knowledge of the limit of one start of an upstream.
-struct LimitWord {
-    std::string start;        //!< identifies the upstream and its start
-    double perS = 0;          //!< requests a second
-    std::int64_t namedMs = 0; //!< time since the limit was last named
-    std::int64_t noneMs = -1; //!< time since the sending of the last request whose answer named
-                              //!< no limit; negative: there was no such request
+struct LimitStatement {
+    std::string start;           //!< identifies the upstream and its start
+    double perS = 0;             //!< requests a second
+    std::int64_t namedAgoMs = 0; //!< time since the limit was last named
+    std::int64_t noneAgoMs = -1; //!< time since the sending of the last request whose answer named
+                                 //!< no limit; negative: there was no such request
 };
 
 //! Sent by a gateway to a holder, regularly and on change: the limits that it uses from this
 //! holder, including those that ended recently.
-struct LimitNews {
+struct LimitUpdate {
     std::string gateway;
     int gateways = 1; //!< number of gateways that the sender knows of
-    std::vector<LimitWord> words;
+    std::vector<LimitStatement> statements;
 };
 
 //! Builds the statement about a limit that was named at some time.
-LimitWord wordOf( std::string start, const UpstreamLimit& known, MonoTime now );
+LimitStatement statementOf( std::string start, const UpstreamLimit& known, MonoTime now );
 //! Applies a statement that arrived now; true when it changes the limit in force.
-bool takeWord( UpstreamLimit& known, const LimitWord& word, MonoTime now );
+bool applyStatement( UpstreamLimit& known, const LimitStatement& statement, MonoTime now );
 
 //! Asks a holder for permission to send one request.
-struct LimitAsk {
+struct LimitRequest {
     std::uint64_t number = 0; //!< identifies the request within its gateway; the answer repeats it
-    LimitWord word;
+    LimitStatement statement;
 };
 
 enum class LimitVerdict {
@@ -57,7 +57,7 @@
     std::uint64_t number = 0;
     LimitVerdict verdict = LimitVerdict::unknown;
     //! If full: time until the first gateway that asks could be granted a request.
-    std::int64_t roomMs = 0;
+    std::int64_t earliestWaitMs = 0;
     //! If full: time after which to retry, which allows for the requests refused earlier.
     std::int64_t waitMs = 0;
 };
--- a/src/decide/limit_holder.hpp
+++ b/src/decide/limit_holder.hpp
@@ -17,12 +17,12 @@
     LimitHolder();
 
     //! Applies a gateway's update, which replaces its previous one.
-    void takeNews( const LimitNews& news, MonoTime now );
-    LimitAnswer ask( const std::string& gateway, const LimitAsk& ask, MonoTime now );
-    void takeBack( const LimitReturn& back, MonoTime now );
+    void takeUpdate( const LimitUpdate& news, MonoTime now );
+    LimitAnswer ask( const std::string& gateway, const LimitRequest& ask, MonoTime now );
+    void acceptReturn( const LimitReturn& back, MonoTime now );
     //! Limits that changed since the last call, to be sent to all gateways: otherwise each of them
     //! would learn of the limit only by sending a request to the overloaded upstream.
-    std::vector<LimitWord> takeChanges( MonoTime now );
+    std::vector<LimitStatement> takeChanges( MonoTime now );
 
     std::size_t size() const noexcept { return m_limits.size(); }
 
@@ -33,7 +33,7 @@
         bool changed = false; //!< since takeChanges()
     };
 
-    Limit& note( const LimitWord& word, MonoTime now );
+    Limit& note( const LimitStatement& statement, MonoTime now );
     void forgetOld( MonoTime now );
 
     QuotaHolder m_buckets; //!< by the upstream's start; one unit is one request
--- a/src/decide/link_choice.hpp
+++ b/src/decide/link_choice.hpp
@@ -16,10 +16,10 @@
 namespace coursehead::decide {
 
 //! Connections that a gateway keeps while idle; with fewer sidecars it is connected to all.
-inline constexpr std::size_t usualLinks = 64;
+inline constexpr std::size_t targetLinks = 64;
 //! Unused connections are closed above this number. The margin keeps connections that are opened
 //! and closed with use from closing others.
-inline constexpr std::size_t mostLinks = 80;
+inline constexpr std::size_t maxLinks = 80;
 //! Sidecars that every gateway is connected to: they count the gateways, can send a message to all
 //! of them at once, and hold the quotas and limits that gateways share.
 inline constexpr std::size_t commonLinks = 16;
@@ -44,7 +44,7 @@
 
 //! Marks the sidecars that all gateways connect to; every gateway gets the same result. With few
 //! sidecars these are all of them.
-std::vector<bool> commonAmong( std::span<const LinkCandidate> candidates );
+std::vector<bool> commonSidecars( std::span<const LinkCandidate> candidates );
 
 //! Keeps connections in use, and opens connections to the nearest other sidecars, spread evenly
 //! over the gateways.
--- a/src/decide/poison.hpp
+++ b/src/decide/poison.hpp
@@ -27,18 +27,18 @@
 //! Weight of upstream ends at which a content is quarantined. With two, requests that merely ran
 //! beside a poison request twice (about one in five of those beside it) would be quarantined as
 //! well; each further end costs another upstream.
-inline constexpr double enoughEnds = 3;
+inline constexpr double quarantineThreshold = 3;
 //! A request that produced events for this long counts with half the weight, since it has shown
 //! that it can run. The weight is not zero, because a poison request may end an upstream late; it
 //! is a half, because at most six ends are allowed.
-inline constexpr Millis provenAfter{ 1000 };
+inline constexpr Millis longRunTime{ 1000 };
 inline constexpr double provenWeight = 0.5;
 //! Number of sidecars that count a content's ends. When an engine ends, the gateways' connections
 //! to its sidecar are lost for seconds, so one sidecar is not enough.
-inline constexpr std::size_t holdersOfEach = 3;
+inline constexpr std::size_t holdersPerContent = 3;
 
 //! A request that was running at an upstream when the upstream ended.
-struct BrokenRun {
+struct InterruptedRun {
     Fingerprint fingerprint = 0;
     double weight = 1;   //!< as evidence
     int quarantines = 0; //!< earlier quarantines of its content
@@ -47,7 +47,7 @@
 //! Sent by a gateway to holders: an upstream has ended.
 struct PoisonEvidence {
     std::string upstreamId;
-    std::vector<BrokenRun> runs;
+    std::vector<InterruptedRun> runs;
 };
 
 //! Sent by a gateway to holders: a request with this content has completed, so it is not poison.
@@ -65,21 +65,21 @@
 };
 
 //! The quarantines that a holder or the store knows of.
-struct QuarantineNews {
+struct QuarantineUpdate {
     std::vector<Quarantine> entries;
 };
 
 //! Weight of an upstream's end as evidence against a request that had produced events for
 //! `eventsMs`; negative: it had produced none.
-double weightOf( std::int64_t eventsMs );
+double evidenceWeight( std::int64_t eventsMs );
 
 //! Duration of a content's quarantine number `times`. After each of the first three the content
 //! gets one more attempt, in case the fault has been mended.
-Millis holdOf( int times );
+Millis quarantineDuration( int times );
 
 //! Indices of the candidates that count a content's ends, chosen by rendezvous hashing.
-std::vector<std::size_t> holdersOf( Fingerprint fingerprint,
-                                    std::span<const std::string_view> candidates );
+std::vector<std::size_t> poisonHolders( Fingerprint fingerprint,
+                                        std::span<const std::string_view> candidates );
 
 } // namespace coursehead::decide
 
--- a/src/decide/poison_book.hpp
+++ b/src/decide/poison_counter.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
 
 #include "decide/poison.hpp"
 
@@ -11,15 +11,15 @@
 namespace coursehead::decide {
 
 //! Counts the upstream ends of each content, as reported to one process.
-class PoisonBook {
+class PoisonCounter {
 public:
     //! `enough`: weight of ends at which a content is quarantined; an end weighs 1 at most.
-    explicit PoisonBook( double enough = enoughEnds ) : m_enough( enough ) {}
+    explicit PoisonCounter( double enough = quarantineThreshold ) : m_enough( enough ) {}
 
     //! Counts an upstream's end for a content, and returns the quarantine if the weight suffices.
     //! The same end may be reported by several gateways, and for several requests with the same
     //! content; it counts once.
-    std::optional<Quarantine> note( const BrokenRun& run, std::string_view upstreamId,
+    std::optional<Quarantine> note( const InterruptedRun& run, std::string_view upstreamId,
                                     MonoTime now );
     //! Forgets a content, since a request with it has completed; true when ends were counted for
     //! it.
@@ -47,4 +47,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -49,7 +49,7 @@
 
 //! Sent by a gateway to a holder, regularly and on change: the organisations whose units it
 //! requests from this holder.
-struct QuotaNews {
+struct QuotaUpdate {
     std::string gateway;
     std::uint64_t version = 0; //!< version of the configuration that defines the limits
     int gateways = 1;          //!< number of gateways that the sender knows of
@@ -57,12 +57,12 @@
 };
 
 //! Requests units of an organisation's limit.
-struct QuotaAsk {
+struct QuotaRequest {
     std::uint64_t number = 0; //!< identifies the request within its gateway; the answer repeats it
     std::string organisation;
-    double needed = 0;           //!< minimum; a smaller grant is of no use
-    double wished = 0;           //!< including units for requests expected next; at least `needed`
-    std::int64_t patienceMs = 0; //!< longest time that the request can wait for its units
+    double needed = 0;          //!< minimum; a smaller grant is of no use
+    double preferred = 0;       //!< including units for requests expected next; at least `needed`
+    std::int64_t maxWaitMs = 0; //!< longest time that the request can wait for its units
 };
 
 struct QuotaAnswer {
@@ -72,7 +72,7 @@
     //! Time until the grant may be spent; if refused, time after which to retry.
     std::int64_t waitMs = 0;
     //! If refused: time until the first gateway that asks could be granted the units.
-    std::int64_t roomMs = 0;
+    std::int64_t earliestWaitMs = 0;
 };
 
 //! Returns units that were granted and not used.
--- a/src/decide/quota_bucket.hpp
+++ b/src/decide/quota_bucket.hpp
@@ -25,16 +25,18 @@
 //! Adds the units earned until `now`.
 void refill( QuotaBucket& bucket, const QuotaRate& rate, MonoTime now );
 /**
- * Takes `needed` units, and up to `wished` units while the bucket is more than half full. A request
- * larger than the burst is granted by a full bucket, which goes below zero for it. A request that
- * does not fit is refused, with a retry time that allows for all requests refused before it. It
- * does not wait in the bucket, because smaller requests that fit now would lack the units reserved
- * for it (at nine times an organisation's usual load, one in five of the smallest requests was
- * refused for this reason). Only a new bucket, which is empty although its organisation may have
- * requested nothing, grants units in advance, if they can be spent within `patienceMs`.
+ * Takes `needed` units, and up to `preferred` units while the bucket is more than half full. A
+ * request larger than the burst is granted by a full bucket, which goes below zero for it. A
+ * request that does not fit is refused, with a retry time that allows for all requests refused
+ * before it. It does not wait in the bucket, because smaller requests that fit now would lack the
+ * units reserved for it (at nine times an organisation's usual load, one in five of the smallest
+ * requests was refused for this reason). Only a new bucket, which is empty although its
+ * organisation may have requested nothing, grants units in advance, if they can be spent within
+ * `patienceMs`.
  */
-QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaAsk& ask, MonoTime now );
-void giveBack( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
+QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaRequest& ask,
+                 MonoTime now );
+void refund( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
 
 } // namespace coursehead::decide
 
--- a/src/decide/quota_holder.hpp
+++ b/src/decide/quota_holder.hpp
@@ -21,17 +21,17 @@
     //! A gateway counts as present if it sent a message within the rule's window.
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
     //! Applies a gateway's update, which replaces its previous one.
-    void takeNews( const QuotaNews& news, MonoTime now );
+    void takeUpdate( const QuotaUpdate& news, MonoTime now );
     //! Answers a gateway's request for units. A gateway that asks counts as a user of this holder,
     //! even if its updates are late. If it has sent nothing within `quotaMembership`, the answer is
     //! that the limit is not known here, and the gateway is counted again from then on.
-    QuotaAnswer ask( const std::string& gateway, const QuotaAsk& ask, MonoTime now );
-    void takeBack( const QuotaReturn& back, MonoTime now );
+    QuotaAnswer ask( const std::string& gateway, const QuotaRequest& ask, MonoTime now );
+    void acceptReturn( const QuotaReturn& back, MonoTime now );
     //! Drops the account of an organisation that no gateway uses any more.
     void forget( std::string_view organisation );
 
     //! Share of an organisation's limit that this holder grants.
-    double partOf( std::string_view organisation, MonoTime now ) const;
+    double shareOf( std::string_view organisation, MonoTime now ) const;
 
 private:
     struct Member {
--- a/src/decide/reading_queue.hpp
+++ b/src/decide/reading_queue.hpp
@@ -13,7 +13,7 @@
 namespace coursehead::decide {
 
 //! A request to have a prompt read by an engine.
-struct ReadingAsk {
+struct ReadingRequest {
     std::uint64_t key = 0; //!< identifies the prompt among all requests
     double workMs = 0;     //!< estimated time that the engine needs to read the prompt
     MonoTime startBy;      //!< a later start would be of no use to the client's request
@@ -45,12 +45,12 @@
     void setGapTarget( Millis gapTarget ) { m_gapTarget = gapTarget; }
 
     //! Queues a prompt, or refuses it and returns when its reading could start.
-    ReadingVerdict ask( const ReadingAsk& ask, MonoTime now );
+    ReadingVerdict ask( const ReadingRequest& ask, MonoTime now );
     //! Removes and returns the next prompt if it may be sent now; it counts as sent to the engine.
-    std::optional<ReadingAsk> takeNext( MonoTime now );
+    std::optional<ReadingRequest> takeNext( MonoTime now );
     //! Removes and returns prompts that can't start in time any more, as the engine was slower than
     //! expected.
-    std::vector<ReadingAsk> takeLate( MonoTime now );
+    std::vector<ReadingRequest> takeExpired( MonoTime now );
     //! Time from which takeNext() returns a prompt; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const;
     //! Removes a prompt that is no longer needed, whether it is queued, or sent but not yet read.
@@ -80,13 +80,13 @@
     using Given = std::deque<Span>;
 
     MonoTime startOf( const Given& given, double workMs, MonoTime earliest ) const;
-    MonoTime place( Given& given, const ReadingAsk& ask, MonoTime now ) const;
+    MonoTime place( Given& given, const ReadingRequest& ask, MonoTime now ) const;
     //! Whether all waiting prompts start in time, and the start of the prompt `key`.
     struct Outlook {
         bool allInTime = true;
         MonoTime start;
     };
-    Outlook outlook( std::span<const ReadingAsk> order, std::uint64_t key, MonoTime now ) const;
+    Outlook outlook( std::span<const ReadingRequest> order, std::uint64_t key, MonoTime now ) const;
     void forgetOld( MonoTime now );
     MonoTime::duration engineTime( double workMs ) const;
     void learnStretch( double readMs, MonoTime now );
@@ -96,8 +96,8 @@
     double m_seenMs = 0;
     double m_namedMs = 0;
     std::optional<MonoTime> m_readingSince; //!< time of the last report, if prompts were being read
-    Given m_given;                    //!< prompts sent to the engine, in order, without overlaps
-    std::deque<ReadingAsk> m_waiting; //!< ordered by latest start time
+    Given m_given; //!< prompts sent to the engine, in order, without overlaps
+    std::deque<ReadingRequest> m_waiting; //!< ordered by latest start time
 };
 
 } // namespace coursehead::decide
--- a/src/decide/replica_rule.hpp
+++ b/src/decide/replica_rule.hpp
@@ -11,7 +11,7 @@
 //! Demand for a model, and its copies.
 struct ModelLoad {
     double workPerS = 0;  //!< milliseconds of prompt reading a second, over all gateways
-    MonoTime toldAt;      //!< when a sidecar of one of the copies reported it
+    MonoTime reportedAt;  //!< when a sidecar of one of the copies reported it
     int copies = 0;       //!< number of copies, as reported by the sidecars
     MonoTime lastReplica; //!< when this gateway last requested a copy
 };
@@ -29,7 +29,7 @@
  * like one at every gateway: models with ten requests in half a minute were given five copies, and
  * 300 of 350 loads evicted another model.
  */
-bool wantsReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
+bool shouldAddReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
 
 } // namespace coursehead::decide
 
--- a/src/decide/turns.hpp
+++ b/src/decide/send_schedule.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
 
 #include "coursehead/kernel/clock.hpp"
 
@@ -16,10 +16,10 @@
  * would send at once when a burst comes. A send window therefore lasts a second at most, and the
  * phase spreads the gateways' windows over the period.
  */
-class Turns {
+class SendSchedule {
 public:
     //! `phase` in [0, 1) differs between gateways.
-    explicit Turns( double phase = 0 ) : m_phase( phase ) {}
+    explicit SendSchedule( double phase = 0 ) : m_phase( phase ) {}
 
     double phase() const noexcept { return m_phase; }
     //! Time until this gateway may send, at `perS` requests a second for it alone; 0: now.
@@ -34,4 +34,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
--- a/src/decide/store_position.hpp
+++ b/src/decide/store_position.hpp
@@ -30,7 +30,7 @@
 }
 
 //! Fencing token of a deployment's first start, lower than that of any later start.
-inline constexpr std::uint64_t firstFence = 1;
+inline constexpr std::uint64_t firstFencingToken = 1;
 
 //! Relation of a received position to the position up to which the receiver knows everything.
 enum class Continuity {
