--- a/src/decide/announcement.cpp
+++ b/src/decide/announcement.cpp
@@ -5,11 +5,12 @@
 
 namespace coursehead::decide {
 
-void AnnouncedState::take( const Announcement& said, MonoTime now ) {
-    if( said.backoff ) {
-        m_backoffUntil = std::max( m_backoffUntil, now + std::min( *said.backoff, maxBackoff ) );
+void AnnouncedState::take( const Announcement& announcement, MonoTime now ) {
+    if( announcement.backoff ) {
+        m_backoffUntil =
+            std::max( m_backoffUntil, now + std::min( *announcement.backoff, maxBackoff ) );
     }
-    m_leaving = m_leaving || said.leaving;
+    m_leaving = m_leaving || announcement.leaving;
 }
 
 } // namespace coursehead::decide
--- a/src/decide/announcement.hpp
+++ b/src/decide/announcement.hpp
@@ -41,7 +41,7 @@
     //! Applies the announcements of an answer that arrived now. The end of a back-off only moves
     //! later: an answer that asks for less, or for none, belongs to a request that was in flight
     //! at the same time as the one whose answer asked for more.
-    void take( const Announcement& said, MonoTime now );
+    void take( const Announcement& announcement, MonoTime now );
     //! Remaining back-off; 0 when the upstream accepts requests.
     Millis backoffLeft( MonoTime now ) const { return remaining( now, m_backoffUntil ); }
     bool leaving() const noexcept { return m_leaving; }
--- a/src/decide/backoff.hpp
+++ b/src/decide/backoff.hpp
@@ -19,10 +19,12 @@
     //! The upstream has served a request, or started to serve one.
     void noteServed();
     //! True when another request may be sent while `inFlight` are in flight.
-    bool admits( int inFlight ) const noexcept { return m_window == 0 || inFlight < m_window; }
+    bool admits( int inFlight ) const noexcept {
+        return m_maxInFlight == 0 || inFlight < m_maxInFlight;
+    }
 
 private:
-    int m_window = 0; //!< requests that may be in flight; 0: no bound
+    int m_maxInFlight = 0; //!< requests that may be in flight; 0: no bound
     int m_slots = 0;
 };
 
--- a/src/decide/cold_gate.hpp
+++ b/src/decide/cold_gate.hpp
@@ -31,25 +31,25 @@
 public:
     //! `phase` in [0, 1) differs between gateways: it spreads the sends of gateways that each may
     //! send less than one request a second.
-    explicit ColdGate( double phase = 0 ) : m_turns( phase ) {}
+    explicit ColdGate( double phase = 0 ) : m_schedule( phase ) {}
 
-    double phase() const noexcept { return m_turns.phase(); }
+    double phase() const noexcept { return m_schedule.phase(); }
     //! The upstream stays cold for this much longer; a later end that is already known is kept.
     void noteCold( Millis left, MonoTime now );
-    bool isCold( MonoTime now ) const { return now < m_until; }
+    bool isCold( MonoTime now ) const { return now < m_coldUntil; }
     //! Remaining cold time.
-    Millis left( MonoTime now ) const { return remaining( now, m_until ); }
+    Millis left( MonoTime now ) const { return remaining( now, m_coldUntil ); }
     //! Time until another request may be sent, at `perS` requests a second; 0: now.
     Millis wait( double perS, MonoTime now );
     //! Counts a request that is sent now.
     void take( MonoTime now );
 
 private:
-    void forgetOld( MonoTime now );
+    void dropOldSends( MonoTime now );
 
-    SendSchedule m_turns; //!< used below one request a second
-    MonoTime m_until;
-    std::deque<MonoTime> m_taken; //!< sends within the last window
+    SendSchedule m_schedule; //!< used below one request a second
+    MonoTime m_coldUntil;
+    std::deque<MonoTime> m_recentSends; //!< sends within the last window
 };
 
 } // namespace coursehead::decide
--- a/src/decide/completed_runs.hpp
+++ b/src/decide/completed_runs.hpp
@@ -18,16 +18,18 @@
  */
 class CompletedRuns {
 public:
-    void note( Fingerprint fingerprint ) { m_places[fingerprint % m_places.size()] = fingerprint; }
+    void note( Fingerprint fingerprint ) {
+        m_entries[fingerprint % m_entries.size()] = fingerprint;
+    }
     //! True if the content was noted since the last call for it; removes it.
     bool consume( Fingerprint fingerprint ) {
-        auto& place = m_places[fingerprint % m_places.size()];
-        return place == fingerprint && std::exchange( place, 0 ) != 0;
+        auto& entry = m_entries[fingerprint % m_entries.size()];
+        return entry == fingerprint && std::exchange( entry, 0 ) != 0;
     }
 
 private:
-    static constexpr std::size_t places = 4096;
-    std::array<Fingerprint, places> m_places{};
+    static constexpr std::size_t entryCount = 4096;
+    std::array<Fingerprint, entryCount> m_entries{};
 };
 
 } // namespace coursehead::decide
--- a/src/decide/evacuation.cpp
+++ b/src/decide/evacuation.cpp
@@ -6,23 +6,23 @@
 namespace coursehead::decide {
 
 Millis evacuationGrace( const EvacuationRule& rule ) {
-    constexpr int parts = 2;
-    return std::min( rule.bound, rule.contact ) / parts;
+    constexpr int graceDivisor = 2;
+    return std::min( rule.bound, rule.contact ) / graceDivisor;
 }
 
 bool Evacuations::begin( const std::string& hall, bool justOrdered, const EvacuationRule& rule,
                          MonoTime now ) {
     const auto stop = justOrdered ? now + evacuationGrace( rule ) : now;
-    return m_stops.emplace( hall, stop ).second;
+    return m_stopTimes.emplace( hall, stop ).second;
 }
 
 bool Evacuations::end( const std::string& hall ) {
-    return m_stops.erase( hall ) > 0;
+    return m_stopTimes.erase( hall ) > 0;
 }
 
 std::optional<MonoTime> Evacuations::stopAt( std::string_view hall ) const {
-    const auto it = m_stops.find( hall );
-    return it == m_stops.end() ? std::nullopt : std::optional( it->second );
+    const auto it = m_stopTimes.find( hall );
+    return it == m_stopTimes.end() ? std::nullopt : std::optional( it->second );
 }
 
 } // namespace coursehead::decide
--- a/src/decide/evacuation.hpp
+++ b/src/decide/evacuation.hpp
@@ -44,7 +44,7 @@
     template <typename Halls>
     std::vector<std::string> missingFrom( const Halls& halls ) const {
         std::vector<std::string> out;
-        for( const auto& it : m_stops ) {
+        for( const auto& it : m_stopTimes ) {
             if( !halls.contains( it.first ) ) {
                 out.push_back( it.first );
             }
@@ -55,7 +55,7 @@
     std::optional<MonoTime> stopAt( std::string_view hall ) const;
 
 private:
-    std::map<std::string, MonoTime, std::less<>> m_stops;
+    std::map<std::string, MonoTime, std::less<>> m_stopTimes;
 };
 
 } // namespace coursehead::decide
--- a/src/decide/event_pace.cpp
+++ b/src/decide/event_pace.cpp
@@ -9,18 +9,18 @@
 
 //! Averages over a few dozen events: the pause follows a change in the number of streams within a
 //! second.
-constexpr double smoothing = 0.05;
-//! Weight of a sample of the added pause, when it is above or below the average. Short prompts
-//! lengthen a step less than the pieces of long prompts, which come only now and then, so larger
-//! samples get the larger weight.
-constexpr double moreSmoothing = 0.2;
-constexpr double lessSmoothing = 0.01;
+constexpr double pauseSmoothing = 0.05;
+//! Weights of samples of the added pause above and below its average. Short prompts lengthen a step
+//! less than the pieces of long prompts, which come only now and then, so samples above the average
+//! get the larger weight.
+constexpr double increaseSmoothing = 0.2;
+constexpr double decreaseSmoothing = 0.01;
 //! When fewer of the reports than this part show reading, the added pause is mostly measurement
 //! error.
-constexpr double leastReading = 0.5;
+constexpr double minReadingShare = 0.5;
 
-void smooth( std::optional<double>& value, double sample, double part ) {
-    value = value ? *value + part * ( sample - *value ) : sample;
+void smooth( std::optional<double>& value, double sample, double weight ) {
+    value = value ? *value + weight * ( sample - *value ) : sample;
 }
 
 } // namespace
@@ -37,7 +37,7 @@
         ++run.reports;
         run.reading += reading ? 1 : 0;
         if( it.events > run.events ) {
-            note( run, it.events, now );
+            notePause( run, it.events, now );
             run = { it.events, now, 0, 0 };
         }
         next[it.id] = run;
@@ -45,25 +45,26 @@
     m_runs = std::move( next );
 }
 
-void EventPace::note( const Run& run, std::int64_t events, MonoTime now ) {
+void EventPace::notePause( const Run& run, std::int64_t events, MonoTime now ) {
     const auto passed = std::chrono::duration<double, std::milli>( now - run.since ).count();
     const auto pause = passed / static_cast<double>( events - run.events );
     if( run.reading == 0 ) {
-        smooth( m_calmMs, pause, smoothing );
+        smooth( m_pauseWithoutReadingMs, pause, pauseSmoothing );
         return;
     }
-    const auto part = static_cast<double>( run.reading ) / run.reports;
-    if( m_calmMs && part >= leastReading ) {
-        const auto add = std::max( pause - *m_calmMs, 0.0 ) / part;
-        smooth( m_addMs, add, add > m_addMs.value_or( 0 ) ? moreSmoothing : lessSmoothing );
+    const auto readingShare = static_cast<double>( run.reading ) / run.reports;
+    if( m_pauseWithoutReadingMs && readingShare >= minReadingShare ) {
+        const auto addedPause = std::max( pause - *m_pauseWithoutReadingMs, 0.0 ) / readingShare;
+        smooth( m_addedPauseMs, addedPause,
+                addedPause > m_addedPauseMs.value_or( 0 ) ? increaseSmoothing : decreaseSmoothing );
     }
 }
 
 std::optional<Millis> EventPace::pauseWhileReading() const {
-    if( !m_calmMs || !m_addMs ) {
+    if( !m_pauseWithoutReadingMs || !m_addedPauseMs ) {
         return std::nullopt;
     }
-    return Millis( static_cast<std::int64_t>( *m_calmMs + *m_addMs ) );
+    return Millis( static_cast<std::int64_t>( *m_pauseWithoutReadingMs + *m_addedPauseMs ) );
 }
 
 } // namespace coursehead::decide
--- a/src/decide/event_pace.hpp
+++ b/src/decide/event_pace.hpp
@@ -34,11 +34,11 @@
         int reports = 0; //!< reports since then
         int reading = 0; //!< of those reports, with prompts being read
     };
-    void note( const Run& run, std::int64_t events, MonoTime now );
+    void notePause( const Run& run, std::int64_t events, MonoTime now );
 
     std::map<std::string, Run> m_runs;
-    std::optional<double> m_calmMs; //!< pause between events without reading
-    std::optional<double> m_addMs;  //!< what continuous reading adds to that pause
+    std::optional<double> m_pauseWithoutReadingMs; //!< pause between events without reading
+    std::optional<double> m_addedPauseMs;          //!< what continuous reading adds to that pause
 };
 
 } // namespace coursehead::decide
--- a/src/decide/gateway_count.cpp
+++ b/src/decide/gateway_count.cpp
@@ -6,16 +6,16 @@
 namespace coursehead::decide {
 
 bool GatewayCount::note( int seen, MonoTime now ) {
-    m_since = std::max( m_since, seen );
-    const bool over = now - m_at > m_hold;
-    if( m_known && seen < m_count && !over ) {
+    m_maxSeen = std::max( m_maxSeen, seen );
+    const bool expired = now - m_countSeenAt > m_hold;
+    if( m_known && seen < m_count && !expired ) {
         return false;
     }
     const int before = m_count;
-    m_count = m_since;
-    m_since = 1;
+    m_count = m_maxSeen;
+    m_maxSeen = 1;
     m_known = true;
-    m_at = now;
+    m_countSeenAt = now;
     return m_count != before;
 }
 
--- a/src/decide/gateway_count.hpp
+++ b/src/decide/gateway_count.hpp
@@ -26,8 +26,8 @@
     int m_count;
     Millis m_hold;
     bool m_known = false;
-    int m_since = 1; //!< largest number reported since `m_at`
-    MonoTime m_at;   //!< when the current count was last reported
+    int m_maxSeen = 1;      //!< largest number reported since `m_countSeenAt`
+    MonoTime m_countSeenAt; //!< when the current count was last reported
 };
 
 } // namespace coursehead::decide
--- a/src/decide/gateway_limits.hpp
+++ b/src/decide/gateway_limits.hpp
@@ -70,10 +70,10 @@
 
     //! Sets what this gateway knows of limits now.
     void setStatements( Statements statements );
-    bool knows( const std::string& start ) const { return m_words.contains( start ); }
+    bool knows( const std::string& start ) const { return m_statements.contains( start ); }
     //! True when there is no update to send.
-    bool idle() const { return m_words.empty() && m_told.empty(); }
-    std::size_t size() const noexcept { return m_words.size(); }
+    bool idle() const { return m_statements.empty() && m_countedBy.empty(); }
+    std::size_t size() const noexcept { return m_statements.size(); }
     //! Sets the processes that may hold limits, and which of them answer. True when a holder has
     //! changed.
     bool setCandidates( std::span<const HolderCandidate> candidates, int gateways, MonoTime now );
@@ -86,8 +86,8 @@
 
 private:
     GatewayQuotas m_holders; //!< chooses holders as for organisations
-    Statements m_words;
-    std::set<std::string> m_told; //!< candidates that count this gateway for a limit
+    Statements m_statements;
+    std::set<std::string> m_countedBy; //!< candidates that count this gateway for a limit
     int m_gateways = 1;
 };
 
--- a/src/decide/gateway_quotas.cpp
+++ b/src/decide/gateway_quotas.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 //! A request to a holder includes the units expected for this time, which is well within the lease.
-constexpr double aheadS = 0.2;
+constexpr double lookaheadS = 0.2;
 //! Time over which the rate of requested units is smoothed.
-constexpr double paceS = 1.0;
+constexpr double rateSmoothingS = 1.0;
 //! Time that the other candidates have to answer after the first one has. A gateway that knows only
 //! some of the candidates would choose other holders than the other gateways do.
-constexpr Millis settleTime{ 500 };
+constexpr Millis answerTime{ 500 };
 
 } // namespace
 
@@ -33,7 +33,7 @@
 void GatewayQuotas::chooseHolder( Account& account, MonoTime now ) {
     const std::string* best = nullptr;
     std::uint64_t bestScore = 0;
-    for( const auto& it : m_answering ) {
+    for( const auto& it : m_responsive ) {
         const auto score = hash64( it, account.rate.organisation );
         if( best == nullptr || score > bestScore ) {
             best = &it;
@@ -43,41 +43,44 @@
     if( best == nullptr || *best == account.holder ) {
         return;
     }
-    const bool reached =
-        std::binary_search( m_answering.begin(), m_answering.end(), account.holder );
-    const auto told = m_told.find( account.holder );
+    const bool reachable =
+        std::binary_search( m_responsive.begin(), m_responsive.end(), account.holder );
+    const auto lastUpdate = m_lastUpdateSent.find( account.holder );
     // A holder that can't be reached still counts this gateway for a while.
-    const bool counted = !account.holder.empty() && !reached && told != m_told.end();
-    account.usableFrom = counted ? told->second + quotaMembership : now;
+    const bool stillCounted =
+        !account.holder.empty() && !reachable && lastUpdate != m_lastUpdateSent.end();
+    account.usableFrom = stillCounted ? lastUpdate->second + quotaMembership : now;
     account.holder = *best;
-    account.lots.clear();
+    account.grants.clear();
     account.unused = 0;
 }
 
 bool GatewayQuotas::setCandidates( std::span<const HolderCandidate> candidates, int gateways,
                                    MonoTime now ) {
     m_gateways = gateways;
-    std::vector<std::string> answering;
+    std::vector<std::string> responsiveNames;
     for( const auto& it : candidates ) {
-        if( it.answers ) {
-            answering.push_back( it.name );
+        if( it.responsive ) {
+            responsiveNames.push_back( it.name );
         }
     }
-    std::sort( answering.begin(), answering.end() );
-    answering.erase( std::unique( answering.begin(), answering.end() ), answering.end() );
-    if( !answering.empty() && !m_firstAnswered ) {
+    std::sort( responsiveNames.begin(), responsiveNames.end() );
+    responsiveNames.erase( std::unique( responsiveNames.begin(), responsiveNames.end() ),
+                           responsiveNames.end() );
+    if( !responsiveNames.empty() && !m_firstAnswered ) {
         m_firstAnswered = now;
     }
-    m_settled = m_settled || ( !answering.empty() && answering.size() == candidates.size() ) ||
-                ( m_firstAnswered && now - *m_firstAnswered >= settleTime );
+    m_settled = m_settled ||
+                ( !responsiveNames.empty() && responsiveNames.size() == candidates.size() ) ||
+                ( m_firstAnswered && now - *m_firstAnswered >= answerTime );
     if( !m_settled ) {
         return false;
     }
-    const bool same = answering == m_answering;
-    m_answering = std::move( answering );
+    const bool unchanged = responsiveNames == m_responsive;
+    m_responsive = std::move( responsiveNames );
     bool changed = false;
     for( auto& [name, account] : m_accounts ) {
-        if( same && !account.holder.empty() ) {
+        if( unchanged && !account.holder.empty() ) {
             continue;
         }
         const auto before = account.holder;
@@ -100,13 +103,13 @@
 }
 
 void GatewayQuotas::noteUpdateSent( std::string_view candidate, MonoTime now ) {
-    m_told[std::string( candidate )] = now;
+    m_lastUpdateSent[std::string( candidate )] = now;
 }
 
 void GatewayQuotas::expire( Account& account, MonoTime now ) {
-    while( !account.lots.empty() && account.lots.front().expires <= now ) {
-        account.unused += account.lots.front().units;
-        account.lots.pop_front();
+    while( !account.grants.empty() && account.grants.front().expires <= now ) {
+        account.unused += account.grants.front().units;
+        account.grants.pop_front();
     }
 }
 
@@ -127,22 +130,22 @@
     if( it == m_accounts.end() ) {
         return true;
     }
-    auto& lots = it->second.lots;
+    auto& grants = it->second.grants;
     expire( it->second, now );
-    double held = 0;
-    for( const auto& lot : lots ) {
-        held += lot.units;
+    double unspent = 0;
+    for( const auto& grant : grants ) {
+        unspent += grant.units;
     }
-    if( held < units ) {
+    if( unspent < units ) {
         return false;
     }
     while( units > 0 ) {
-        auto& lot = lots.front();
-        const double taken = std::min( lot.units, units );
-        lot.units -= taken;
+        auto& grant = grants.front();
+        const double taken = std::min( grant.units, units );
+        grant.units -= taken;
         units -= taken;
-        if( lot.units <= 0 ) {
-            lots.pop_front();
+        if( grant.units <= 0 ) {
+            grants.pop_front();
         }
     }
     return true;
@@ -152,7 +155,7 @@
     const auto it = m_accounts.find( organisation );
     const bool usable =
         it != m_accounts.end() && now >= it->second.usableFrom &&
-        std::binary_search( m_answering.begin(), m_answering.end(), it->second.holder );
+        std::binary_search( m_responsive.begin(), m_responsive.end(), it->second.holder );
     return usable ? it->second.holder : std::string();
 }
 
@@ -163,15 +166,15 @@
     }
     auto& account = it->second;
     const double seconds = std::chrono::duration<double>( now - account.askedAt ).count();
-    account.perS = account.perS * std::exp( -seconds / paceS ) + units / paceS;
+    account.perS = account.perS * std::exp( -seconds / rateSmoothingS ) + units / rateSmoothingS;
     account.askedAt = now;
-    return units + account.perS * aheadS;
+    return units + account.perS * lookaheadS;
 }
 
 void GatewayQuotas::addGrant( std::string_view organisation, double units, MonoTime asked ) {
     const auto it = m_accounts.find( organisation );
     if( it != m_accounts.end() && units > 0 ) {
-        it->second.lots.push_back( { units, asked + quotaLease } );
+        it->second.grants.push_back( { units, asked + quotaLease } );
     }
 }
 
@@ -189,8 +192,9 @@
     for( const auto& past : spent ) {
         sum += past.units;
     }
-    const double mine = reservePart * allowance( m_rule, account.rate ) / std::max( m_gateways, 1 );
-    if( sum > mine ) {
+    const double share =
+        reserveFraction * allowance( m_rule, account.rate ) / std::max( m_gateways, 1 );
+    if( sum > share ) {
         return false;
     }
     spent.push_back( { units, now } );
--- a/src/decide/gateway_quotas.hpp
+++ b/src/decide/gateway_quotas.hpp
@@ -17,7 +17,7 @@
 //! A process that may hold organisations' limits, as known to a gateway.
 struct HolderCandidate {
     std::string name;
-    bool answers = false; //!< a message from it was received recently
+    bool responsive = false; //!< a message from it was received recently
 };
 
 /**
@@ -61,7 +61,7 @@
     static Millis reserveWait() { return quotaMembership / 2; }
 
 private:
-    struct Lot {
+    struct Grant {
         double units = 0;
         MonoTime expires;
     };
@@ -73,8 +73,8 @@
         QuotaRate rate;
         std::string holder;
         MonoTime usableFrom; //!< time from which the holder may be asked
-        std::deque<Lot> lots;
-        double unused = 0;         //!< units of lots that have expired
+        std::deque<Grant> grants;
+        double unused = 0;         //!< units of grants that have expired
         std::deque<Spent> reserve; //!< units of the reserve spent within the window
         double perS = 0;           //!< units requested a second, smoothed
         MonoTime askedAt;
@@ -86,9 +86,9 @@
     QuotaRule m_rule;
     std::uint64_t m_version = 0;
     int m_gateways = 1;
-    std::vector<std::string> m_answering;    //!< candidates that answer, sorted
-    std::map<std::string, MonoTime> m_told;  //!< time of the last update sent, by candidate
-    std::optional<MonoTime> m_firstAnswered; //!< when the first candidate answered
+    std::vector<std::string> m_responsive;            //!< candidates that answer, sorted
+    std::map<std::string, MonoTime> m_lastUpdateSent; //!< by candidate
+    std::optional<MonoTime> m_firstAnswered;          //!< when the first candidate answered
     bool m_settled = false; //!< all candidates have answered, or the time for it has passed
     std::map<std::string, Account, std::less<>> m_accounts;
 };
--- a/src/decide/limit.cpp
+++ b/src/decide/limit.cpp
@@ -10,8 +10,8 @@
 
 //! The time `ms` ago. `ms` is clamped, since another process may send any value.
 MonoTime timeAgo( std::int64_t ms, MonoTime now ) {
-    constexpr std::int64_t longest = Millis( std::chrono::hours( 24 ) ).count();
-    return now - Millis( std::clamp<std::int64_t>( ms, 0, longest ) );
+    constexpr std::int64_t maxMs = Millis( std::chrono::hours( 24 ) ).count();
+    return now - Millis( std::clamp<std::int64_t>( ms, 0, maxMs ) );
 }
 
 } // namespace
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -69,9 +69,9 @@
 
 //! Lower limits are raised to this: an upstream that gets no requests could never announce that its
 //! limit has ended.
-inline constexpr double leastLimitPerS = 0.25;
+inline constexpr double minLimitPerS = 0.25;
 //! Higher limits are lowered to this, which is more than any upstream serves.
-inline constexpr double mostLimitPerS = 1e6;
+inline constexpr double maxLimitPerS = 1e6;
 
 } // namespace coursehead::decide
 
--- a/src/decide/limit_holder.cpp
+++ b/src/decide/limit_holder.cpp
@@ -14,11 +14,11 @@
 //! Burst of an unused limit: one request, and the limit's rate for this many seconds.
 constexpr double burstS = 0.5;
 //! A limit that no gateway has mentioned for this long is forgotten.
-constexpr Millis limitMemory{ 60000 };
+constexpr Millis limitLifetime{ 60000 };
 
 //! Rate and burst of the bucket that counts a limit.
 QuotaRate rateOf( const std::string& start, double perS ) {
-    const double rate = std::clamp( perS, leastLimitPerS, mostLimitPerS );
+    const double rate = std::clamp( perS, minLimitPerS, maxLimitPerS );
     return { start, rate, 1 + rate * burstS };
 }
 
@@ -30,7 +30,7 @@
 
 LimitHolder::Limit& LimitHolder::note( const LimitStatement& statement, MonoTime now ) {
     auto& out = m_limits[statement.start];
-    out.heard = now;
+    out.lastMentioned = now;
     out.changed = applyStatement( out.known, statement, now ) || out.changed;
     return out;
 }
@@ -45,34 +45,35 @@
     return out;
 }
 
-void LimitHolder::takeUpdate( const LimitUpdate& news, MonoTime now ) {
-    QuotaUpdate kept;
-    kept.gateway = news.gateway;
-    kept.gateways = news.gateways;
-    for( const auto& it : news.statements ) {
+void LimitHolder::takeUpdate( const LimitUpdate& update, MonoTime now ) {
+    QuotaUpdate quotaUpdate;
+    quotaUpdate.gateway = update.gateway;
+    quotaUpdate.gateways = update.gateways;
+    for( const auto& it : update.statements ) {
         const auto& known = note( it, now ).known;
-        UpstreamLimit own;
-        applyStatement( own, it, now );
-        if( own.perS() ) {
-            kept.rates.push_back( rateOf( it.start, known.lastPerS() ) );
+        UpstreamLimit sentByGateway;
+        applyStatement( sentByGateway, it, now );
+        if( sentByGateway.perS() ) {
+            quotaUpdate.rates.push_back( rateOf( it.start, known.lastPerS() ) );
         }
     }
-    m_buckets.takeUpdate( kept, now );
-    forgetOld( now );
+    m_buckets.takeUpdate( quotaUpdate, now );
+    dropUnmentioned( now );
 }
 
-LimitAnswer LimitHolder::ask( const std::string& gateway, const LimitRequest& ask, MonoTime now ) {
+LimitAnswer LimitHolder::ask( const std::string& gateway, const LimitRequest& request,
+                              MonoTime now ) {
     LimitAnswer out;
-    out.number = ask.number;
-    if( !note( ask.statement, now ).known.perS() ) {
+    out.number = request.number;
+    if( !note( request.statement, now ).known.perS() ) {
         out.verdict = LimitVerdict::ended;
         return out;
     }
-    QuotaRequest unit;
-    unit.organisation = ask.statement.start;
-    unit.needed = 1;
-    unit.preferred = 1;
-    const auto answer = m_buckets.ask( gateway, unit, now );
+    QuotaRequest unitRequest;
+    unitRequest.organisation = request.statement.start;
+    unitRequest.needed = 1;
+    unitRequest.preferred = 1;
+    const auto answer = m_buckets.ask( gateway, unitRequest, now );
     if( !answer.known ) {
         return out;
     }
@@ -86,17 +87,17 @@
     return out;
 }
 
-void LimitHolder::acceptReturn( const LimitReturn& back, MonoTime now ) {
-    m_buckets.acceptReturn( { back.start, 1 }, now );
+void LimitHolder::acceptReturn( const LimitReturn& returned, MonoTime now ) {
+    m_buckets.acceptReturn( { returned.start, 1 }, now );
 }
 
-void LimitHolder::forgetOld( MonoTime now ) {
+void LimitHolder::dropUnmentioned( MonoTime now ) {
     std::erase_if( m_limits, [&]( const auto& it ) {
-        const bool old = now - it.second.heard > limitMemory;
-        if( old ) {
+        const bool expired = now - it.second.lastMentioned > limitLifetime;
+        if( expired ) {
             m_buckets.forget( it.first );
         }
-        return old;
+        return expired;
     } );
 }
 
--- a/src/decide/limit_holder.hpp
+++ b/src/decide/limit_holder.hpp
@@ -17,9 +17,9 @@
     LimitHolder();
 
     //! Applies a gateway's update, which replaces its previous one.
-    void takeUpdate( const LimitUpdate& news, MonoTime now );
-    LimitAnswer ask( const std::string& gateway, const LimitRequest& ask, MonoTime now );
-    void acceptReturn( const LimitReturn& back, MonoTime now );
+    void takeUpdate( const LimitUpdate& update, MonoTime now );
+    LimitAnswer ask( const std::string& gateway, const LimitRequest& request, MonoTime now );
+    void acceptReturn( const LimitReturn& returned, MonoTime now );
     //! Limits that changed since the last call, to be sent to all gateways: otherwise each of them
     //! would learn of the limit only by sending a request to the overloaded upstream.
     std::vector<LimitStatement> takeChanges( MonoTime now );
@@ -29,12 +29,12 @@
 private:
     struct Limit {
         UpstreamLimit known;
-        MonoTime heard;
+        MonoTime lastMentioned;
         bool changed = false; //!< since takeChanges()
     };
 
     Limit& note( const LimitStatement& statement, MonoTime now );
-    void forgetOld( MonoTime now );
+    void dropUnmentioned( MonoTime now );
 
     QuotaHolder m_buckets; //!< by the upstream's start; one unit is one request
     std::map<std::string, Limit, std::less<>> m_limits;
--- a/src/decide/model_restore.hpp
+++ b/src/decide/model_restore.hpp
@@ -30,12 +30,12 @@
  * Removes the next model to load from `modelRestore` and returns it. Models for which `isLocal` is
  * false are removed as well: their weights are not on this VM, and the weight store's rate is kept
  * for requests. If all engines are empty, busy models (those with several copies) are loaded first;
- * the random number `draw` in [0, 1) chooses among them, so that each gets its share over the
+ * the random number `randomUnit` in [0, 1) chooses among them, so that each gets its share over the
  * fleet. If only this engine is empty, models that no other engine holds are loaded first.
  */
 std::optional<std::string> takeNextModel( ModelRestore& modelRestore,
                                           const std::function<bool( std::string_view )>& isLocal,
-                                          double draw );
+                                          double randomUnit );
 
 } // namespace coursehead::decide
 
--- a/src/decide/poison.cpp
+++ b/src/decide/poison.cpp
@@ -15,7 +15,7 @@
 
 //! Durations of the first and later quarantines. Two minutes are longer than a client keeps
 //! retrying. The last is a day, because at most three attempts may follow a content's third end.
-constexpr std::array<Millis, 4> holds{ 2min, 8min, 32min, 24h };
+constexpr std::array<Millis, 4> quarantineDurations{ 2min, 8min, 32min, 24h };
 
 } // namespace
 
@@ -24,8 +24,8 @@
 }
 
 Millis quarantineDuration( int times ) {
-    const auto last = static_cast<int>( holds.size() ) - 1;
-    return holds[static_cast<std::size_t>( std::clamp( times - 1, 0, last ) )];
+    const auto lastIndex = static_cast<int>( quarantineDurations.size() ) - 1;
+    return quarantineDurations[static_cast<std::size_t>( std::clamp( times - 1, 0, lastIndex ) )];
 }
 
 std::vector<std::size_t> poisonHolders( Fingerprint fingerprint,
--- a/src/decide/poison_counter.hpp
+++ b/src/decide/poison_counter.hpp
@@ -13,8 +13,8 @@
 //! Counts the upstream ends of each content, as reported to one process.
 class PoisonCounter {
 public:
-    //! `enough`: weight of ends at which a content is quarantined; an end weighs 1 at most.
-    explicit PoisonCounter( double enough = quarantineThreshold ) : m_enough( enough ) {}
+    //! `threshold`: weight of ends at which a content is quarantined; an end weighs 1 at most.
+    explicit PoisonCounter( double threshold = quarantineThreshold ) : m_threshold( threshold ) {}
 
     //! Counts an upstream's end for a content, and returns the quarantine if the weight suffices.
     //! The same end may be reported by several gateways, and for several requests with the same
@@ -24,7 +24,7 @@
     //! Forgets a content, since a request with it has completed; true when ends were counted for
     //! it.
     bool clear( Fingerprint fingerprint );
-    std::size_t size() const noexcept { return m_cases.size(); }
+    std::size_t size() const noexcept { return m_records.size(); }
 
 private:
     //! A counted end of an upstream.
@@ -32,16 +32,16 @@
         std::uint64_t upstream = 0; //!< hash of the upstream's id
         MonoTime at;
     };
-    struct Case {
+    struct Record {
         double weight = 0;
         std::vector<End> ends;
-        std::list<Fingerprint>::iterator age; //!< in m_oldestFirst
+        std::list<Fingerprint>::iterator orderPosition; //!< in m_oldestFirst
     };
 
-    Case& caseOf( Fingerprint fingerprint );
+    Record& recordOf( Fingerprint fingerprint );
 
-    double m_enough;
-    std::unordered_map<Fingerprint, Case> m_cases;
+    double m_threshold;
+    std::unordered_map<Fingerprint, Record> m_records;
     std::list<Fingerprint> m_oldestFirst; //!< contents, by the time of their last end
 };
 
--- a/src/decide/quarantine_list.cpp
+++ b/src/decide/quarantine_list.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 //! Maximum number of quarantines, about 0.4 MB; the one that ends first is dropped for a new one.
-constexpr std::size_t mostEntries = 4096;
+constexpr std::size_t maxEntries = 4096;
 
 } // namespace
 
-void QuarantineList::makeRoom() {
-    if( m_entries.size() < mostEntries ) {
+void QuarantineList::evictIfFull() {
+    if( m_entries.size() < maxEntries ) {
         return;
     }
-    const auto sooner = []( const auto& a, const auto& b ) {
+    const auto endsEarlier = []( const auto& a, const auto& b ) {
         return a.second.until < b.second.until;
     };
-    m_entries.erase( std::min_element( m_entries.begin(), m_entries.end(), sooner ) );
+    m_entries.erase( std::min_element( m_entries.begin(), m_entries.end(), endsEarlier ) );
 }
 
 bool QuarantineList::put( const Quarantine& entry, MonoTime now ) {
@@ -28,7 +28,7 @@
         return false;
     }
     if( it == m_entries.end() ) {
-        makeRoom();
+        evictIfFull();
     }
     m_entries[entry.fingerprint] = { entry.times, now + Millis( entry.holdMs ) };
     return true;
--- a/src/decide/quarantine_list.hpp
+++ b/src/decide/quarantine_list.hpp
@@ -29,7 +29,7 @@
         MonoTime until;
     };
 
-    void makeRoom();
+    void evictIfFull();
 
     std::unordered_map<Fingerprint, Entry> m_entries;
 };
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -41,11 +41,11 @@
 //! Units by which a limit may be exceeded within the rule's window, over all gateways.
 double allowance( const QuotaRule& rule, const QuotaRate& rate );
 
-// Parts of the allowance: for gateways that can't reach a holder (`reservePart`) and for the
-// initial level of new buckets (`startPart`). The rest covers grants that are spent up to a lease
-// after they were counted, which is half a second's limit.
-inline constexpr double reservePart = 0.25;
-inline constexpr double startPart = 0.2;
+// Parts of the allowance: for gateways that can't reach a holder (`reserveFraction`) and for the
+// initial level of new buckets (`initialFraction`). The rest covers grants that are spent up to a
+// lease after they were counted, which is half a second's limit.
+inline constexpr double reserveFraction = 0.25;
+inline constexpr double initialFraction = 0.2;
 
 //! Sent by a gateway to a holder, regularly and on change: the organisations whose units it
 //! requests from this holder.
--- a/src/decide/quota_bucket.hpp
+++ b/src/decide/quota_bucket.hpp
@@ -9,17 +9,17 @@
 //! Token bucket of an organisation's limit. It starts without a burst, since a previous holder may
 //! just have granted one.
 struct QuotaBucket {
-    double level = 0;    //!< units; negative: units were granted in advance
-    double promised = 0; //!< units of refused requests that were told when to retry
-    MonoTime at;         //!< time up to which both are counted
-    MonoTime since;      //!< when the bucket was created
+    double level = 0;         //!< units; negative: units were granted in advance
+    double promisedUnits = 0; //!< units of refused requests that were told when to retry
+    MonoTime at;              //!< time up to which both are counted
+    MonoTime since;           //!< when the bucket was created
 };
 
 struct QuotaGrant {
     double units = 0; //!< granted units; 0: refused
     Millis wait{ 0 }; //!< time until the units may be spent; if refused, time after which to retry
     //! If refused: time until the first request to arrive could be granted the units.
-    Millis room{ 0 };
+    Millis earliestWait{ 0 };
 };
 
 //! Adds the units earned until `now`.
@@ -32,9 +32,9 @@
  * units reserved for it (at nine times an organisation's usual load, one in five of the smallest
  * requests was refused for this reason). Only a new bucket, which is empty although its
  * organisation may have requested nothing, grants units in advance, if they can be spent within
- * `patienceMs`.
+ * `maxWaitMs`.
  */
-QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaRequest& ask,
+QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaRequest& request,
                  MonoTime now );
 void refund( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
 
--- a/src/decide/quota_holder.cpp
+++ b/src/decide/quota_holder.cpp
@@ -6,58 +6,59 @@
 namespace coursehead::decide {
 
 double QuotaHolder::shareOf( std::string_view organisation, MonoTime now ) const {
-    int holdingTo = 0;
-    int heard = 0;
-    int told = 1;
+    int users = 0;
+    int present = 0;
+    int reportedGateways = 1;
     for( const auto& [name, member] : m_members ) {
-        heard += now - member.heard <= m_rule.window ? 1 : 0;
-        if( now - member.heard > quotaMembership ) {
+        present += now - member.lastMessageAt <= m_rule.window ? 1 : 0;
+        if( now - member.lastMessageAt > quotaMembership ) {
             continue;
         }
-        told = std::max( told, member.gateways );
+        reportedGateways = std::max( reportedGateways, member.gateways );
         const auto& list = member.organisations;
-        holdingTo += std::find( list.begin(), list.end(), organisation ) != list.end() ? 1 : 0;
+        users += std::find( list.begin(), list.end(), organisation ) != list.end() ? 1 : 0;
     }
-    return static_cast<double>( holdingTo ) / std::max( { heard, told, holdingTo, 1 } );
+    return static_cast<double>( users ) / std::max( { present, reportedGateways, users, 1 } );
 }
 
 QuotaRate QuotaHolder::rateOf( const Account& account, MonoTime now ) const {
     QuotaRate out = account.rate;
-    const double part = shareOf( out.organisation, now );
-    out.perS *= part;
-    out.burst *= part;
+    const double share = shareOf( out.organisation, now );
+    out.perS *= share;
+    out.burst *= share;
     return out;
 }
 
-void QuotaHolder::takeUpdate( const QuotaUpdate& news, MonoTime now ) {
-    std::erase_if( m_members,
-                   [&]( const auto& it ) { return now - it.second.heard > m_rule.window; } );
+void QuotaHolder::takeUpdate( const QuotaUpdate& update, MonoTime now ) {
+    std::erase_if( m_members, [&]( const auto& it ) {
+        return now - it.second.lastMessageAt > m_rule.window;
+    } );
     std::vector<std::string> organisations;
-    for( const auto& it : news.rates ) {
+    for( const auto& it : update.rates ) {
         organisations.push_back( it.organisation );
     }
-    auto& member = m_members[news.gateway];
-    const bool stays =
-        now - member.heard <= quotaMembership && member.organisations == organisations;
-    if( !stays ) {
+    auto& member = m_members[update.gateway];
+    const bool unchanged =
+        now - member.lastMessageAt <= quotaMembership && member.organisations == organisations;
+    if( !unchanged ) {
         // The shares change: units for the time until now are added by the previous shares.
         refillAll( member.organisations, now );
         refillAll( organisations, now );
         member.organisations = std::move( organisations );
     }
-    member.heard = now;
-    member.gateways = news.gateways;
-    for( const auto& it : news.rates ) {
+    member.lastMessageAt = now;
+    member.gateways = update.gateways;
+    for( const auto& it : update.rates ) {
         auto& account = m_accounts[it.organisation];
-        if( news.version >= account.version ) {
-            account.version = news.version;
+        if( update.version >= account.version ) {
+            account.version = update.version;
             account.rate = it;
         }
-        start( account, now );
+        initialise( account, now );
     }
 }
 
-void QuotaHolder::start( Account& account, MonoTime now ) {
+void QuotaHolder::initialise( Account& account, MonoTime now ) {
     const auto rate = rateOf( account, now );
     const bool isNew = account.bucket.at == MonoTime{};
     refill( account.bucket, rate, now );
@@ -65,7 +66,7 @@
         // With an empty bucket, requests that need more units than are earned while they wait would
         // be refused although no units have been requested: after a power loss 28 review requests
         // were refused.
-        const double first = startPart * allowance( m_rule, account.rate );
+        const double first = initialFraction * allowance( m_rule, account.rate );
         account.bucket.level = std::min( first, rate.burst );
     }
 }
@@ -79,41 +80,42 @@
     }
 }
 
-QuotaAnswer QuotaHolder::ask( const std::string& gateway, const QuotaRequest& ask, MonoTime now ) {
+QuotaAnswer QuotaHolder::ask( const std::string& gateway, const QuotaRequest& request,
+                              MonoTime now ) {
     QuotaAnswer out;
-    out.number = ask.number;
-    const auto it = m_accounts.find( ask.organisation );
+    out.number = request.number;
+    const auto it = m_accounts.find( request.organisation );
     const auto member = m_members.find( gateway );
     if( it == m_accounts.end() || member == m_members.end() ) {
         return out;
     }
     const auto& listed = member->second.organisations;
-    if( std::find( listed.begin(), listed.end(), ask.organisation ) == listed.end() ) {
+    if( std::find( listed.begin(), listed.end(), request.organisation ) == listed.end() ) {
         return out;
     }
-    const bool belongs = now - member->second.heard <= quotaMembership;
-    if( !belongs ) {
+    const bool isCounted = now - member->second.lastMessageAt <= quotaMembership;
+    if( !isCounted ) {
         refillAll( listed, now );
     }
-    member->second.heard = now;
-    if( !belongs ) {
+    member->second.lastMessageAt = now;
+    if( !isCounted ) {
         // This gateway's share was not counted, so a refusal now would say nothing about the limit.
         return out;
     }
     out.known = true;
-    const auto grant = take( it->second.bucket, rateOf( it->second, now ), ask, now );
+    const auto grant = take( it->second.bucket, rateOf( it->second, now ), request, now );
     out.granted = grant.units;
     out.waitMs = grant.wait.count();
-    out.earliestWaitMs = grant.room.count();
+    out.earliestWaitMs = grant.earliestWait.count();
     if( grant.units <= 0 ) {
         // While a starting fleet connects, a holder's share may be about a hundredth, by which a
         // review request would be told to retry after half a minute. The times are scaled to the
         // whole limit: by the time the client retries, the share is whole again, or the client
         // asks another gateway.
-        const double part = shareOf( ask.organisation, now );
-        out.waitMs = static_cast<std::int64_t>( static_cast<double>( out.waitMs ) * part );
+        const double share = shareOf( request.organisation, now );
+        out.waitMs = static_cast<std::int64_t>( static_cast<double>( out.waitMs ) * share );
         out.earliestWaitMs =
-            static_cast<std::int64_t>( static_cast<double>( out.earliestWaitMs ) * part );
+            static_cast<std::int64_t>( static_cast<double>( out.earliestWaitMs ) * share );
     }
     return out;
 }
@@ -125,10 +127,10 @@
     }
 }
 
-void QuotaHolder::acceptReturn( const QuotaReturn& back, MonoTime now ) {
-    const auto it = m_accounts.find( back.organisation );
+void QuotaHolder::acceptReturn( const QuotaReturn& returned, MonoTime now ) {
+    const auto it = m_accounts.find( returned.organisation );
     if( it != m_accounts.end() ) {
-        refund( it->second.bucket, rateOf( it->second, now ), back.units, now );
+        refund( it->second.bucket, rateOf( it->second, now ), returned.units, now );
     }
 }
 
--- a/src/decide/quota_holder.hpp
+++ b/src/decide/quota_holder.hpp
@@ -21,12 +21,12 @@
     //! A gateway counts as present if it sent a message within the rule's window.
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
     //! Applies a gateway's update, which replaces its previous one.
-    void takeUpdate( const QuotaUpdate& news, MonoTime now );
+    void takeUpdate( const QuotaUpdate& update, MonoTime now );
     //! Answers a gateway's request for units. A gateway that asks counts as a user of this holder,
     //! even if its updates are late. If it has sent nothing within `quotaMembership`, the answer is
     //! that the limit is not known here, and the gateway is counted again from then on.
-    QuotaAnswer ask( const std::string& gateway, const QuotaRequest& ask, MonoTime now );
-    void acceptReturn( const QuotaReturn& back, MonoTime now );
+    QuotaAnswer ask( const std::string& gateway, const QuotaRequest& request, MonoTime now );
+    void acceptReturn( const QuotaReturn& returned, MonoTime now );
     //! Drops the account of an organisation that no gateway uses any more.
     void forget( std::string_view organisation );
 
@@ -35,7 +35,7 @@
 
 private:
     struct Member {
-        MonoTime heard;
+        MonoTime lastMessageAt;
         int gateways = 1; //!< number of gateways that it knows of
         std::vector<std::string> organisations;
     };
@@ -45,7 +45,7 @@
         QuotaBucket bucket;
     };
 
-    void start( Account& account, MonoTime now );
+    void initialise( Account& account, MonoTime now );
     void refillAll( const std::vector<std::string>& organisations, MonoTime now );
     QuotaRate rateOf( const Account& account, MonoTime now ) const;
 
--- a/src/decide/reading_queue.cpp
+++ b/src/decide/reading_queue.cpp
@@ -10,27 +10,27 @@
 //! Part of any period as long as the gap target that may be used for prompt reading. The rest is
 //! for the streams' own steps: with pieces of 54 ms and events of nine steps of at least 10 ms
 //! each, eight of nine steps may read a piece.
-constexpr double readingPart = 0.7;
+constexpr double readingFraction = 0.7;
 //! A prompt is sent this long before the engine is expected to be free, so that the engine does not
 //! wait for prompts. The time covers a round trip and a late iteration of the event loop.
 constexpr Millis sendAhead{ 15 };
 //! A prompt that starts late by no more than this is not dropped: estimates are no more precise,
 //! and gateways subtract 120 ms for transmission from the latest start time.
-constexpr Millis lateSlack{ 90 };
+constexpr Millis lateTolerance{ 90 };
 //! Remaining work of a prompt that should have been read by now, as a part of its whole work.
-constexpr double overduePart = 0.5;
+constexpr double overdueFraction = 0.5;
 //! A prompt that no report shows as read is forgotten this long after its expected end: it may have
 //! been lost with its connection.
-constexpr Millis unseenLife{ 2000 };
-//! The ratio of measured engine time to stated work starts at 1, with the weight of `usualMs` of
-//! measured reading. Earlier measurements are multiplied by `fading` at each report, so that about
-//! the last half second of reading counts.
-constexpr double usualMs = 200;
-constexpr double fading = 0.92;
+constexpr Millis unseenLifetime{ 2000 };
+//! The ratio of measured engine time to stated work starts at 1, with the weight of `priorMs` of
+//! measured reading. Earlier measurements are multiplied by `decayFactor` at each report, so that
+//! about the last half second of reading counts.
+constexpr double priorMs = 200;
+constexpr double decayFactor = 0.92;
 //! Bounds of that ratio: estimates of a gateway that has no measurements of a model are wrong by a
 //! factor of four at most.
-constexpr double leastStretch = 0.25;
-constexpr double mostStretch = 4;
+constexpr double minTimeRatio = 0.25;
+constexpr double maxTimeRatio = 4;
 
 using Work = std::chrono::duration<double, std::milli>;
 
@@ -38,7 +38,7 @@
     return std::chrono::ceil<Millis>( std::max( span, MonoTime::duration::zero() ) );
 }
 
-MonoTime::duration spanOf( double workMs ) {
+MonoTime::duration durationOf( double workMs ) {
     return std::chrono::duration_cast<MonoTime::duration>( Work( std::max( workMs, 0.0 ) ) );
 }
 
@@ -48,40 +48,44 @@
 
 } // namespace
 
-MonoTime ReadingQueue::startOf( const Given& given, double workMs, MonoTime earliest ) const {
-    const MonoTime free = given.empty() ? earliest : std::max( earliest, given.back().to );
+MonoTime ReadingQueue::earliestStart( const SentPrompts& sent, double workMs,
+                                      MonoTime earliest ) const {
+    const MonoTime freeAt = sent.empty() ? earliest : std::max( earliest, sent.back().to );
     if( m_gapTarget.count() == 0 ) {
-        return free;
+        return freeAt;
     }
     const auto window = std::chrono::duration_cast<MonoTime::duration>( m_gapTarget );
-    const auto most = std::chrono::duration_cast<MonoTime::duration>( m_gapTarget * readingPart );
-    const auto work = std::min( engineTime( workMs ), most );
+    const auto maxReading =
+        std::chrono::duration_cast<MonoTime::duration>( m_gapTarget * readingFraction );
+    const auto work = std::min( engineTime( workMs ), maxReading );
     // Goes back over the prompts sent, newest first, until the reading time that the window leaves
     // beside this prompt is used up; the window starts there.
-    auto room = most - work;
-    for( auto it = given.rbegin(); it != given.rend(); ++it ) {
+    auto readingLeft = maxReading - work;
+    for( auto it = sent.rbegin(); it != sent.rend(); ++it ) {
         const auto length = it->to - it->from;
-        if( length > room ) {
-            const MonoTime windowFrom = it->to - room;
-            return std::max( free, windowFrom + window - work );
+        if( length > readingLeft ) {
+            const MonoTime windowStart = it->to - readingLeft;
+            return std::max( freeAt, windowStart + window - work );
         }
-        room -= length;
+        readingLeft -= length;
     }
-    return free;
+    return freeAt;
 }
 
-MonoTime ReadingQueue::place( Given& given, const ReadingRequest& ask, MonoTime now ) const {
-    const auto start = startOf( given, ask.workMs, now );
-    given.push_back( { ask.key, ask.workMs, start, start + engineTime( ask.workMs ), false } );
+MonoTime ReadingQueue::appendPeriod( SentPrompts& sent, const ReadingRequest& request,
+                                     MonoTime now ) const {
+    const auto start = earliestStart( sent, request.workMs, now );
+    sent.push_back(
+        { request.key, request.workMs, start, start + engineTime( request.workMs ), false } );
     return start;
 }
 
-ReadingQueue::Outlook ReadingQueue::outlook( std::span<const ReadingRequest> order,
-                                             std::uint64_t key, MonoTime now ) const {
-    Outlook out;
-    Given given = m_given;
+ReadingQueue::Forecast ReadingQueue::forecast( std::span<const ReadingRequest> order,
+                                               std::uint64_t key, MonoTime now ) const {
+    Forecast out;
+    SentPrompts sent = m_sent;
     for( const auto& it : order ) {
-        const auto start = place( given, it, now );
+        const auto start = appendPeriod( sent, it, now );
         if( it.key == key ) {
             out.start = start;
         }
@@ -90,51 +94,53 @@
     return out;
 }
 
-ReadingVerdict ReadingQueue::ask( const ReadingRequest& ask, MonoTime now ) {
-    forgetOld( now );
+ReadingVerdict ReadingQueue::ask( const ReadingRequest& request, MonoTime now ) {
+    dropOld( now );
     // If some waiting prompt is late already, this prompt is not refused for making others late.
     std::vector<ReadingRequest> order( m_waiting.begin(), m_waiting.end() );
-    const auto at = std::upper_bound( order.begin(), order.end(), ask, startsBefore );
-    const bool inTimeBefore = outlook( order, ask.key, now ).allInTime;
-    order.insert( at, ask );
-    const auto with = outlook( order, ask.key, now );
-    const bool accepted = with.start <= ask.startBy && ( with.allInTime || !inTimeBefore );
+    const auto at = std::upper_bound( order.begin(), order.end(), request, startsBefore );
+    const bool inTimeBefore = forecast( order, request.key, now ).allInTime;
+    order.insert( at, request );
+    const auto forecastWith = forecast( order, request.key, now );
+    const bool accepted =
+        forecastWith.start <= request.startBy && ( forecastWith.allInTime || !inTimeBefore );
     if( !accepted ) {
-        return { false, std::max( waitFor( ask.workMs, now ), roundedUp( with.start - now ) ) };
+        return { false, std::max( waitFor( request.workMs, now ),
+                                  roundedUp( forecastWith.start - now ) ) };
     }
     m_waiting.assign( order.begin(), order.end() );
-    return { true, roundedUp( with.start - now ) };
+    return { true, roundedUp( forecastWith.start - now ) };
 }
 
 std::optional<MonoTime> ReadingQueue::nextAt( MonoTime now ) const {
     if( m_waiting.empty() ) {
         return std::nullopt;
     }
-    return startOf( m_given, m_waiting.front().workMs, now ) - sendAhead;
+    return earliestStart( m_sent, m_waiting.front().workMs, now ) - sendAhead;
 }
 
 std::optional<ReadingRequest> ReadingQueue::takeNext( MonoTime now ) {
-    forgetOld( now );
+    dropOld( now );
     const auto at = nextAt( now );
     if( !at || *at > now ) {
         return std::nullopt;
     }
     const auto out = m_waiting.front();
     m_waiting.pop_front();
-    place( m_given, out, now );
+    appendPeriod( m_sent, out, now );
     return out;
 }
 
 std::vector<ReadingRequest> ReadingQueue::takeExpired( MonoTime now ) {
-    forgetOld( now );
+    dropOld( now );
     std::vector<ReadingRequest> out;
-    Given given = m_given;
+    SentPrompts sent = m_sent;
     std::erase_if( m_waiting, [&]( const ReadingRequest& it ) {
-        const bool late = startOf( given, it.workMs, now ) > it.startBy + lateSlack;
+        const bool late = earliestStart( sent, it.workMs, now ) > it.startBy + lateTolerance;
         if( late ) {
             out.push_back( it );
         } else {
-            place( given, it, now );
+            appendPeriod( sent, it, now );
         }
         return late;
     } );
@@ -144,7 +150,7 @@
 void ReadingQueue::withdraw( std::uint64_t key, MonoTime now ) {
     std::erase_if( m_waiting, [key]( const auto& it ) { return it.key == key; } );
     // The part that the engine is estimated to have read still counts; only the rest is released.
-    for( auto& it : m_given ) {
+    for( auto& it : m_sent ) {
         if( it.key == key && it.to > now ) {
             it.to = std::max( it.from, now );
         }
@@ -152,76 +158,77 @@
 }
 
 void ReadingQueue::noteUnread( std::size_t prompts, MonoTime now ) {
-    std::size_t left = prompts;
-    std::size_t first = m_given.size();
-    while( first > 0 && left > 0 && !m_given[first - 1].read ) {
+    std::size_t unreadLeft = prompts;
+    std::size_t first = m_sent.size();
+    while( first > 0 && unreadLeft > 0 && !m_sent[first - 1].read ) {
         --first;
-        --left;
+        --unreadLeft;
     }
     double readMs = 0;
     for( std::size_t n = 0; n < first; ++n ) {
-        auto& it = m_given[n];
+        auto& it = m_sent[n];
         readMs += it.read ? 0 : it.workMs;
         it.read = true;
         it.to = std::min( it.to, now );
         it.from = std::min( it.from, it.to );
     }
-    learnStretch( readMs, now );
-    m_readingSince = first < m_given.size() ? std::optional( now ) : std::nullopt;
-    MonoTime free = now;
-    for( std::size_t n = first; n < m_given.size(); ++n ) {
-        auto& it = m_given[n];
-        const bool begun = it.from < now && n == first;
-        const auto rest = std::max( it.to - now, engineTime( it.workMs * overduePart ) );
-        it.from = begun ? it.from : free;
-        it.to = free + ( begun ? rest : engineTime( it.workMs ) );
-        free = it.to;
+    updateTimeRatio( readMs, now );
+    m_readingSince = first < m_sent.size() ? std::optional( now ) : std::nullopt;
+    MonoTime freeAt = now;
+    for( std::size_t n = first; n < m_sent.size(); ++n ) {
+        auto& it = m_sent[n];
+        const bool started = it.from < now && n == first;
+        const auto remainingTime =
+            std::max( it.to - now, engineTime( it.workMs * overdueFraction ) );
+        it.from = started ? it.from : freeAt;
+        it.to = freeAt + ( started ? remainingTime : engineTime( it.workMs ) );
+        freeAt = it.to;
     }
 }
 
 //! Measures the ratio of engine time to stated work while prompts are read continuously. It differs
 //! from 1 because streams' steps lie between a prompt's pieces, and because gateways may estimate a
 //! model's reading speed wrongly.
-void ReadingQueue::learnStretch( double readMs, MonoTime now ) {
+void ReadingQueue::updateTimeRatio( double readMs, MonoTime now ) {
     if( !m_readingSince ) {
         return;
     }
     const Work passed = now - *m_readingSince;
-    m_seenMs = m_seenMs * fading + passed.count();
-    m_namedMs = m_namedMs * fading + readMs;
+    m_measuredMs = m_measuredMs * decayFactor + passed.count();
+    m_statedMs = m_statedMs * decayFactor + readMs;
 }
 
 MonoTime::duration ReadingQueue::engineTime( double workMs ) const {
-    const double stretch = ( m_seenMs + usualMs ) / ( m_namedMs + usualMs );
-    return spanOf( workMs * std::clamp( stretch, leastStretch, mostStretch ) );
+    const double timeRatio = ( m_measuredMs + priorMs ) / ( m_statedMs + priorMs );
+    return durationOf( workMs * std::clamp( timeRatio, minTimeRatio, maxTimeRatio ) );
 }
 
 bool ReadingQueue::busy( MonoTime now ) const {
-    return !m_waiting.empty() || ( !m_given.empty() && m_given.back().to > now );
+    return !m_waiting.empty() || ( !m_sent.empty() && m_sent.back().to > now );
 }
 
 void ReadingQueue::clear() {
-    m_given.clear();
+    m_sent.clear();
     m_waiting.clear();
     m_readingSince.reset();
 }
 
 Millis ReadingQueue::waitFor( double workMs, MonoTime now ) const {
-    Given given = m_given;
+    SentPrompts sent = m_sent;
     for( const auto& it : m_waiting ) {
-        place( given, it, now );
+        appendPeriod( sent, it, now );
     }
-    return roundedUp( startOf( given, workMs, now ) - now );
+    return roundedUp( earliestStart( sent, workMs, now ) - now );
 }
 
-void ReadingQueue::forgetOld( MonoTime now ) {
-    while( !m_given.empty() ) {
-        const auto& it = m_given.front();
-        const auto kept = it.read ? m_gapTarget : std::max( m_gapTarget, unseenLife );
-        if( it.to + kept > now ) {
+void ReadingQueue::dropOld( MonoTime now ) {
+    while( !m_sent.empty() ) {
+        const auto& it = m_sent.front();
+        const auto keepTime = it.read ? m_gapTarget : std::max( m_gapTarget, unseenLifetime );
+        if( it.to + keepTime > now ) {
             return;
         }
-        m_given.pop_front();
+        m_sent.pop_front();
     }
 }
 
--- a/src/decide/reading_queue.hpp
+++ b/src/decide/reading_queue.hpp
@@ -45,7 +45,7 @@
     void setGapTarget( Millis gapTarget ) { m_gapTarget = gapTarget; }
 
     //! Queues a prompt, or refuses it and returns when its reading could start.
-    ReadingVerdict ask( const ReadingRequest& ask, MonoTime now );
+    ReadingVerdict ask( const ReadingRequest& request, MonoTime now );
     //! Removes and returns the next prompt if it may be sent now; it counts as sent to the engine.
     std::optional<ReadingRequest> takeNext( MonoTime now );
     //! Removes and returns prompts that can't start in time any more, as the engine was slower than
@@ -70,33 +70,34 @@
 
 private:
     //! Estimated period in which the engine reads a prompt that was sent to it.
-    struct Span {
+    struct ReadingPeriod {
         std::uint64_t key = 0;
         double workMs = 0;
         MonoTime from;
         MonoTime to;
         bool read = false; //!< the engine's reports show that it was read
     };
-    using Given = std::deque<Span>;
+    using SentPrompts = std::deque<ReadingPeriod>;
 
-    MonoTime startOf( const Given& given, double workMs, MonoTime earliest ) const;
-    MonoTime place( Given& given, const ReadingRequest& ask, MonoTime now ) const;
+    MonoTime earliestStart( const SentPrompts& sent, double workMs, MonoTime earliest ) const;
+    MonoTime appendPeriod( SentPrompts& sent, const ReadingRequest& request, MonoTime now ) const;
     //! Whether all waiting prompts start in time, and the start of the prompt `key`.
-    struct Outlook {
+    struct Forecast {
         bool allInTime = true;
         MonoTime start;
     };
-    Outlook outlook( std::span<const ReadingRequest> order, std::uint64_t key, MonoTime now ) const;
-    void forgetOld( MonoTime now );
+    Forecast forecast( std::span<const ReadingRequest> order, std::uint64_t key,
+                       MonoTime now ) const;
+    void dropOld( MonoTime now );
     MonoTime::duration engineTime( double workMs ) const;
-    void learnStretch( double readMs, MonoTime now );
+    void updateTimeRatio( double readMs, MonoTime now );
 
     Millis m_gapTarget{ 0 };
     //! Measured engine time for prompts, and the work that requests stated for the same prompts.
-    double m_seenMs = 0;
-    double m_namedMs = 0;
+    double m_measuredMs = 0;
+    double m_statedMs = 0;
     std::optional<MonoTime> m_readingSince; //!< time of the last report, if prompts were being read
-    Given m_given; //!< prompts sent to the engine, in order, without overlaps
+    SentPrompts m_sent; //!< prompts sent to the engine, in order, without overlaps
     std::deque<ReadingRequest> m_waiting; //!< ordered by latest start time
 };
 
--- a/src/decide/replica_rule.cpp
+++ b/src/decide/replica_rule.cpp
@@ -8,12 +8,12 @@
 constexpr double millisPerSecond = 1000;
 //! Load of each copy above which another copy is started, as a part of its engine's time. An engine
 //! holds three models; when each of them is above a third, prompts queue.
-constexpr double replicaLoad = 0.35;
-constexpr Millis replicaPause{ 1000 };
+constexpr double replicaThreshold = 0.35;
+constexpr Millis minReplicaInterval{ 1000 };
 //! Average number of gateways that act on the same load at a time.
-constexpr double replicaActors = 1.5;
+constexpr double actingGateways = 1.5;
 //! A reported load is used for this long; reported demand is smoothed over about two seconds.
-constexpr Millis loadAge{ 1500 };
+constexpr Millis maxLoadAge{ 1500 };
 
 } // namespace
 
@@ -21,12 +21,12 @@
     return load.copies > 0 ? load.workPerS / ( millisPerSecond * load.copies ) : 0;
 }
 
-bool shouldAddReplica( const ModelLoad& load, int gateways, double draw, MonoTime now ) {
-    const bool known = load.copies > 0 && now - load.reportedAt <= loadAge;
-    if( !known || now - load.lastReplica < replicaPause ) {
+bool shouldAddReplica( const ModelLoad& load, int gateways, double randomUnit, MonoTime now ) {
+    const bool known = load.copies > 0 && now - load.reportedAt <= maxLoadAge;
+    if( !known || now - load.lastReplica < minReplicaInterval ) {
         return false;
     }
-    return copyLoad( load ) > replicaLoad && draw * gateways < replicaActors;
+    return copyLoad( load ) > replicaThreshold && randomUnit * gateways < actingGateways;
 }
 
 } // namespace coursehead::decide
--- a/src/decide/replica_rule.hpp
+++ b/src/decide/replica_rule.hpp
@@ -21,7 +21,7 @@
 
 /**
  * Whether this gateway should have a copy added now. All gateways know about the same load, so each
- * acts only with a certain probability, such that together they act often enough; `draw` is a
+ * acts only with a certain probability, such that together they act often enough; `randomUnit` is a
  * random number, uniform in [0, 1).
  *
  * The load has to be that of all gateways, as summed up by the sidecars. One gateway's own requests
@@ -29,7 +29,7 @@
  * like one at every gateway: models with ten requests in half a minute were given five copies, and
  * 300 of 350 loads evicted another model.
  */
-bool shouldAddReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
+bool shouldAddReplica( const ModelLoad& load, int gateways, double randomUnit, MonoTime now );
 
 } // namespace coursehead::decide
 
--- a/src/decide/store_position.hpp
+++ b/src/decide/store_position.hpp
@@ -40,11 +40,11 @@
                   //!< current state
 };
 
-inline Continuity continuityOf( StorePosition known, StorePosition told ) noexcept {
-    if( told < known ) {
+inline Continuity continuityOf( StorePosition known, StorePosition received ) noexcept {
+    if( received < known ) {
         return Continuity::former;
     }
-    return told.era == known.era ? Continuity::follows : Continuity::otherHistory;
+    return received.era == known.era ? Continuity::follows : Continuity::otherHistory;
 }
 
 } // namespace coursehead::decide
