--- a/src/decide/model_restore.hpp
+++ b/src/decide/model_restore.hpp
@@ -9,33 +9,33 @@
 #include <vector>
 
 /**
- * What an engine that starts anew takes in before anybody asks. The load that it answers: an engine
- * or all of them come back empty while requests go on; loads take about a second each, one at a
- * time, and those that requests call for begin only when the requests have found the engine.
+ * Models that a restarted engine loads before requests ask for them. It is designed for one engine,
+ * or all engines, restarting without models while requests continue. Loads take about a second
+ * each, one at a time, and a load on request starts only when the request has reached the engine.
  */
 namespace coursehead::decide {
 
-//! A model that an engine held before.
+//! A model that an engine held before its restart.
 struct PreviousModel {
     std::string model;
-    int copies = 1; //!< in the fleet then
+    int copies = 1; //!< in the fleet at that time
 };
 
 struct ModelRestore {
-    std::vector<PreviousModel> models; //!< those still to be taken in
-    bool allEngines = false;           //!< all engines started anew, not this one alone
+    std::vector<PreviousModel> models; //!< models still to be loaded
+    bool allEngines = false;           //!< all engines have restarted, not only this one
 };
 
 /**
- * The next model to take in; it is removed from `modelRestore`, with all that `isLocal` denies (its
- * weights are not on this VM: the weight store's rate is for requests). Where all engines are empty
- * the busy models go first, those with several copies: the first at each engine by `draw` in [0,
- * 1), so that over the fleet each gets its part. Where one engine is, the models that nobody else
- * holds.
+ * Removes the next model to load from `modelRestore` and returns it. Models for which `isLocal` is
+ * false are removed as well: their weights are not on this VM, and the weight store's rate is kept
+ * for requests. If all engines are empty, busy models (those with several copies) are loaded first;
+ * the random number `randomUnit` in [0, 1) chooses among them, so that each gets its share over the
+ * fleet. If only this engine is empty, models that no other engine holds are loaded first.
  */
 std::optional<std::string> takeNextModel( ModelRestore& modelRestore,
                                           const std::function<bool( std::string_view )>& isLocal,
-                                          double draw );
+                                          double randomUnit );
 
 } // namespace coursehead::decide
 
