--- a/src/gateway/estimate.cpp
+++ b/src/gateway/estimate.cpp
@@ -9,42 +9,43 @@
 
 namespace {
 
-//! Prompt reading of a request of which nothing more is known, in milliseconds.
-constexpr double usualPrefillMs = 80;
-//! Usual work of a plain service's request, in milliseconds, until slowness is measured.
-constexpr double usualWorkMs = 20;
-//! Loading an adapter that is not there: some milliseconds, and a round trip to the sidecar.
+//! Assumed prompt reading time of a request that is only known from an engine's queue count.
+constexpr double typicalPrefillMs = 80;
+//! Assumed duration of a request to a plain service; measured slowness scales it.
+constexpr double typicalPlainWorkMs = 20;
+//! Time to load an adapter: a few milliseconds plus a round trip to the sidecar.
 constexpr double adapterLoadMs = 25;
-//! Waiting where every adapter slot is taken by running requests: streams last about a second.
-constexpr double adapterFullMs = 800;
-//! Usual rest of a model's order that is under way.
-constexpr double orderWaitMs = 400;
-//! Rest of a load that has taken longer than expected.
-constexpr Millis leastLoad{ 50 };
-//! What leaving the hall counts for: a review's 18 KB cost about one part in a hundred of its
-//! worth, a tenth of that in time.
+//! Wait for an adapter slot if running requests use all of them: streams last about a second.
+constexpr double adapterSlotWaitMs = 800;
+//! Typical time until a model order that is in progress completes.
+constexpr double typicalOrderLeftMs = 400;
+//! Remaining time assumed for a load that has already taken longer than expected.
+constexpr Millis minLoadLeft{ 50 };
+//! Penalty for another hall. Sending the 18 KB of a review request across halls costs about 1 % of
+//! the request's value; the penalty in time is a tenth of that.
 constexpr double crossHallMs = 4;
-//! The same for plain services, which keep nothing that makes one better than the other.
+//! The same for plain services; larger, as their upstreams cache nothing that would favour one.
 constexpr double plainCrossHallMs = 15;
-//! Leaving the region: a question to the engine's sidecar and the send take a round trip each, of
-//! tens of milliseconds; as much again for the bytes, on links that are narrow.
+//! Penalty for another region: asking the engine's sidecar and sending the request take a round
+//! trip of tens of milliseconds each, and transferring the bytes over narrow links as much again.
 constexpr double crossRegionMs = 240;
-//! One round trip, and as much for the bytes.
+//! The same for plain services: one round trip, and as much again for the bytes.
 constexpr double plainCrossRegionMs = 120;
-//! A load also makes another model give way; it is chosen only when it wins this much.
-constexpr double evictionMs = 150;
-//! What is held elsewhere too leaves a hall that is emptied at once; what only it holds is still
-//! sent there until a copy has come from a disk or the weight store, which takes longer than this.
-constexpr double leavingHallMs = 350;
-//! Usual wait until an upstream that was in a back-off takes one more.
-constexpr double slowStartMs = 25;
+//! Penalty for a load, because it evicts another model.
+constexpr double evictionPenaltyMs = 150;
+//! Penalty for a hall that is being evacuated. Requests for models that other halls hold too go
+//! elsewhere at once. Requests for models that only this hall holds still go there until a copy is
+//! loaded elsewhere, because a load from disk or the weight store costs more than this.
+constexpr double evacuatedHallMs = 350;
+//! Typical wait until an upstream in slow start after a back-off accepts one more request.
+constexpr double slowStartWaitMs = 25;
 constexpr double percent = 100;
 
 bool contains( const std::vector<std::string>& names, std::string_view name ) {
     return std::find( names.begin(), names.end(), name ) != names.end();
 }
 
-//! Tokens of the parts that other prompts have too; the last part is the request's own.
+//! Tokens of the parts that other prompts share: all but the last part.
 std::int64_t sharedTokens( const Generation& generation ) {
     std::int64_t out = 0;
     for( std::size_t n = 0; n + 1 < generation.parts.size(); ++n ) {
@@ -59,29 +60,30 @@
         if( model == nullptr ) {
             return 0;
         }
-        const auto under = node.loading.find( generation.model );
+        const auto loadStart = node.loading.find( generation.model );
         Millis load = model->storeLoad;
         if( node.report && contains( node.report->inMemory, generation.model ) ) {
             load = model->memoryLoad;
         } else if( node.report && contains( node.report->onDisk, generation.model ) ) {
             load = model->diskLoad;
         }
-        if( under != node.loading.end() ) {
-            // Others wait for it there already: what is left of the load, and no further order.
-            const auto left = load - std::chrono::duration_cast<Millis>( now - under->second );
-            return static_cast<double>( std::max( left, leastLoad ).count() );
+        if( loadStart != node.loading.end() ) {
+            // Other requests wait for this load already: only its remaining time counts, no new
+            // order.
+            const auto left = load - std::chrono::duration_cast<Millis>( now - loadStart->second );
+            return static_cast<double>( std::max( left, minLoadLeft ).count() );
         }
-        const double busy = node.report && node.report->load.ordering ? orderWaitMs : 0;
-        return static_cast<double>( load.count() ) + evictionMs + busy;
+        const double busy = node.report && node.report->load.ordering ? typicalOrderLeftMs : 0;
+        return static_cast<double>( load.count() ) + evictionPenaltyMs + busy;
     }
     if( generation.adapter.empty() ||
         node.holdsAdapter( generation.model, generation.adapter, now ) ) {
         return 0;
     }
-    // Adapters wait for a model's order that is under way.
+    // An adapter load waits for a model order that is in progress.
     const bool ordering = node.reportFresh( now ) && node.report->load.ordering;
     const bool full = node.reportFresh( now ) && !node.report->load.adapterRoom;
-    return adapterLoadMs + ( ordering ? orderWaitMs : 0 ) + ( full ? adapterFullMs : 0 );
+    return adapterLoadMs + ( ordering ? typicalOrderLeftMs : 0 ) + ( full ? adapterSlotWaitMs : 0 );
 }
 
 } // namespace
@@ -95,15 +97,15 @@
     out.otherRegion = distance.otherRegion;
     out.crossRegionMs = crossRegionMs;
     out.crossHallMs = crossHallMs;
-    out.leavingMs = node.stopAt ? leavingHallMs : 0;
-    out.paceMs = node.slowStart.admits( node.inFlight ) ? 0 : slowStartMs;
+    out.leavingMs = node.stopAt ? evacuatedHallMs : 0;
+    out.paceMs = node.slowStart.admits( node.inFlight ) ? 0 : slowStartWaitMs;
     out.avoided = node.health.avoidUntil > now || !node.engineReachable;
     if( need.generation == nullptr || !node.engine ) {
-        out.workMs = usualWorkMs;
+        out.workMs = typicalPlainWorkMs;
         out.crossHallMs = plainCrossHallMs;
         out.crossRegionMs = plainCrossRegionMs;
-        out.backlogMs = usualWorkMs * node.inFlight / std::max( node.upstream.slots, 1 ) +
-                        ( node.inFlight >= node.upstream.slots ? usualWorkMs : 0 );
+        out.backlogMs = typicalPlainWorkMs * node.inFlight / std::max( node.upstream.slots, 1 ) +
+                        ( node.inFlight >= node.upstream.slots ? typicalPlainWorkMs : 0 );
         out.affinity = hash64( node.upstream.id, std::to_string( now.time_since_epoch().count() ) );
         return out;
     }
@@ -118,7 +120,7 @@
     out.homeWorkMs = pace.readingMs( generation.model, static_cast<double>( out.homeTokens ) );
     out.backlogMs = node.prefillMs;
     if( node.asksSidecar( now ) ) {
-        // It knows what all gateways have sent and are waiting to send.
+        // The sidecar's figure covers what all gateways have sent and are waiting to send.
         out.backlogMs = std::max( out.backlogMs, node.readingWait( now ) );
     } else if( node.gapTarget.count() > 0 ) {
         out.paceMs += static_cast<double>(
@@ -128,11 +130,11 @@
         const auto waiting =
             static_cast<int>( node.report->load.queued + node.report->load.prefilling );
         if( !node.asksSidecar( now ) ) {
-            out.backlogMs += std::max( waiting - node.prefilling, 0 ) * usualPrefillMs;
+            out.backlogMs += std::max( waiting - node.prefilling, 0 ) * typicalPrefillMs;
         }
         const bool full = node.engine->slots > 0 &&
                           node.report->load.running >= static_cast<unsigned>( node.engine->slots );
-        out.backlogMs += full ? usualPrefillMs * ( 1 + node.report->load.queued ) : 0;
+        out.backlogMs += full ? typicalPrefillMs * ( 1 + node.report->load.queued ) : 0;
     }
     if( node.reportFresh( now ) ) {
         out.decoding = node.report->load.running -
@@ -147,13 +149,14 @@
     return out;
 }
 
-bool beatsAnyLoad( const Candidate& candidate, const Node& node, std::string_view model ) {
+bool cheaperThanAnyLoad( const Candidate& candidate, const Node& node, std::string_view model ) {
     const auto* spec = node.engine ? node.engine->find( model ) : nullptr;
-    const auto quickest = spec == nullptr ? Millis{ 0 } : spec->memoryLoad;
-    return costOf( candidate ) + equalMs < evictionMs + static_cast<double>( quickest.count() );
+    const auto fastestLoad = spec == nullptr ? Millis{ 0 } : spec->memoryLoad;
+    return costOf( candidate ) + equalCostMs <
+           evictionPenaltyMs + static_cast<double>( fastestLoad.count() );
 }
 
-bool hasWeights( const Node& node, const std::string& model ) {
+bool hasLocalWeights( const Node& node, const std::string& model ) {
     return node.report &&
            ( contains( node.report->inMemory, model ) || contains( node.report->onDisk, model ) );
 }
--- a/src/gateway/estimate.hpp
+++ b/src/gateway/estimate.hpp
@@ -14,31 +14,33 @@
 
 namespace coursehead::gateway {
 
-//! What a request needs of an upstream.
+//! The requirements of a request that decide which upstreams can serve it and at what cost.
 struct Need {
     std::string service;
-    const Generation* generation = nullptr; //!< null for plain services
-    std::span<const std::uint64_t> prefix;  //!< keys of the prompt's parts
-    decide::Homes homes{};                  //!< regions in which it may be served
+    const Generation* generation = nullptr; //!< null for services that are not engines
+    std::span<const std::uint64_t> prefix;  //!< keys of the prompt's parts, see prefixKeys()
+    decide::Homes homes{};                  //!< regions in which the request may be served
     Millis goal{ 0 };
     std::size_t requestBytes = 0;
 };
 
-//! Where a gateway stands, as seen from an upstream.
+//! Whether an upstream is in another hall or region than the gateway.
 struct Distance {
     bool otherHall = false;
     bool otherRegion = false;
 };
 
-//! What sending a request to a node would take, from that far.
+//! Estimates the terms of the cost of sending a request to `node` at this distance.
 Candidate estimate( const Node& node, const Need& need, const ModelPace& pace, Distance distance,
                     MonoTime now );
 
-//! True when no upstream that had to load a model first could be better than `candidate` at `node`.
-bool beatsAnyLoad( const Candidate& candidate, const Node& node, std::string_view model );
+//! True if `candidate` at `node` costs less than any upstream that would first have to load
+//! `model`.
+bool cheaperThanAnyLoad( const Candidate& candidate, const Node& node, std::string_view model );
 
-//! True when a load of the model there needs nothing from the weight store.
-bool hasWeights( const Node& node, const std::string& model );
+//! True if the upstream has the model's weights in memory or on disk, so that a load needs nothing
+//! from the weight store.
+bool hasLocalWeights( const Node& node, const std::string& model );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-//! Gateways assumed until a sidecar says how many there are.
+//! Number of gateways assumed until a sidecar reports it.
 constexpr int assumedGateways = 8;
 
-std::string_view whereOf( Distance distance ) {
+std::string_view distanceLabel( Distance distance ) {
     if( distance.otherRegion ) {
         return "other_region";
     }
@@ -80,7 +80,7 @@
                       node.sidecar && node.toldBorn == node.upstream.born;
     node.engine = engine;
     if( same ) {
-        // Most configurations change routes only: sidecars need not hear of them.
+        // Most configuration changes concern only routes, which sidecars do not need.
         return;
     }
     node.gapTarget = gapTarget;
@@ -91,7 +91,7 @@
     node.prefixes.setCapacity( node.engine->cacheTokens );
     if( !node.sidecar ) {
         node.sidecar = linkTo( node.upstream );
-        node.sidecar->setTraffic( { m_settings.metrics, whereOf( distanceTo( node ) ) } );
+        node.sidecar->setTraffic( { m_settings.metrics, distanceLabel( distanceTo( node ) ) } );
         node.sidecar->setHandlers( sidecarHandlers( node.upstream.id ) );
     }
     EngineNews news;
@@ -106,15 +106,15 @@
 }
 
 void Fleet::adopt( std::shared_ptr<SidecarLink> link ) {
-    if( m_early ) {
-        m_early->stop();
+    if( m_unusedLink ) {
+        m_unusedLink->stop();
     }
-    m_early = std::move( link );
+    m_unusedLink = std::move( link );
 }
 
 std::shared_ptr<SidecarLink> Fleet::linkTo( const Upstream& upstream ) {
-    if( m_early && m_early->ip() == upstream.ip ) {
-        return std::exchange( m_early, nullptr );
+    if( m_unusedLink && m_unusedLink->ip() == upstream.ip ) {
+        return std::exchange( m_unusedLink, nullptr );
     }
     return std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.sidecarPort );
 }
@@ -172,16 +172,16 @@
     }
     const auto now = MonoClock::now();
     node.takeReport( report, now );
-    countGateways( node, report.load.gateways, now );
+    noteGatewayCount( node, report.load.gateways, now );
 }
 
 void Fleet::takeLoad( Node& node, const EngineLoad& load ) {
     const auto now = MonoClock::now();
     node.takeLoad( load, now );
-    countGateways( node, load.gateways, now );
+    noteGatewayCount( node, load.gateways, now );
 }
 
-void Fleet::countGateways( const Node& node, int seen, MonoTime now ) {
+void Fleet::noteGatewayCount( const Node& node, int seen, MonoTime now ) {
     if( m_gateways.note( seen, now ) ) {
         log::info( "gateways_counted", { { "gateways", m_gateways.count() },
                                          { "upstream", node.upstream.id },
@@ -198,7 +198,7 @@
 }
 
 bool Fleet::mayUseStore( const Node& node, const std::string& model, MonoTime now ) {
-    // A process that has just started does not know what was allowed before.
+    // A process that has just started does not know which loads were permitted before.
     if( now - m_started < m_settings.ceilingWindow ) {
         return false;
     }
@@ -218,7 +218,7 @@
     return out;
 }
 
-void Fleet::handBack( const Node& node, const EnsureAnswer& leave ) {
+void Fleet::returnPermit( const Node& node, const EnsureAnswer& leave ) {
     if( node.sidecar ) {
         node.sidecar->cancel( leave.number );
     }
@@ -233,7 +233,8 @@
     request.upstreamId = node->upstream.id;
     request.coldMs = node->cold.left( now ).count();
     request.coldPerS = node->coldPerS;
-    const bool near = node->holdsModel( request.model, now ) || hasWeights( *node, request.model );
+    const bool near =
+        node->holdsModel( request.model, now ) || hasLocalWeights( *node, request.model );
     request.fromStore = !near && node->engine && mayUseStore( *node, request.model, now );
     const bool loads = !node->holdsModel( request.model, now ) && ( near || request.fromStore );
     const std::string name = request.model;
@@ -245,7 +246,7 @@
         node->loading.erase( name );
     }
     if( granted && answer.outcome == EnsureOutcome::needStore ) {
-        // Its engine was busy until the grant was too old.
+        // The engine was busy until the grant expired.
         m_grants.release( node->upstream.id, name );
     }
     const auto answered = MonoClock::now();
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -26,7 +26,7 @@
 
 namespace coursehead::gateway {
 
-//! What the fleet needs to know of its own process.
+//! Settings of the gateway's process that the fleet uses.
 struct FleetSettings {
     std::string vm;
     std::string hall;
@@ -34,28 +34,28 @@
     Millis ceilingWindow{ 5000 };
     decide::EvacuationRule evacuation{};
     decide::ColdRule cold{};
-    std::map<std::string, std::string> regions{}; //!< of each hall
-    metrics::Metrics* metrics = nullptr;          //!< null: nothing is counted
+    std::map<std::string, std::string> regions{}; //!< by hall
+    metrics::Metrics* metrics = nullptr;          //!< null: no metrics are counted
 };
 
-//! An upstream chosen for a request, with what the choice rests on.
+//! The upstream chosen for a request, with the estimates that the choice is based on.
 struct Choice {
-    NodePtr node;          //!< null when none is left, or one that takes none now is there earlier
-    double expectedMs = 0; //!< until the first event, or the answer
-    double workMs = 0;     //!< of that, reading the prompt
-    double loadMs = 0;     //!< of that, until model and adapter are there
-    double paceMs = 0;     //!< until it should be sent, for the streams that run there
-    std::int64_t freshTokens = 0; //!< of the prompt, to be read
-    Millis rest{ 0 };             //!< no node: until the first takes requests again; 0: none does
-    bool atLimit = false;         //!< that one has reached its limit; else it asked for a back-off
-    bool unqueued = false;        //!< nothing was ahead of it, as far as known
+    NodePtr node;          //!< null: none is left, or one that is unavailable now serves it sooner
+    double expectedMs = 0; //!< estimated time to the first event or the answer
+    double workMs = 0;     //!< part of expectedMs spent reading the prompt
+    double loadMs = 0;     //!< part of expectedMs until model and adapter are loaded
+    double paceMs = 0;     //!< delay before sending, for running streams or a slow start
+    std::int64_t freshTokens = 0; //!< prompt tokens that the engine has not cached
+    Millis rest{ 0 };      //!< no node: until the first upstream takes requests again; 0: none
+    bool atLimit = false;  //!< no node: that upstream reached its limit; else it backs off
+    bool unqueued = false; //!< no known backlog or load was ahead of the request
     bool holdsModel = true;
     bool holdsAdapter = true;
     std::size_t candidates = 0;
     double bestCost = 0;
 };
 
-//! The upstreams of all services, with what this gateway knows of each.
+//! The upstreams of all services, with this gateway's state for each.
 class Fleet {
 public:
     Fleet( net::asio::io_context& context, RandomSource& random, FleetSettings settings );
@@ -63,54 +63,55 @@
     Fleet( const Fleet& ) = delete;
     Fleet& operator=( const Fleet& ) = delete;
 
-    //! A connection that was opened to the sidecar at an address before the upstreams were known;
-    //! used once that sidecar's engine is.
+    //! Takes over a connection that was opened to a sidecar before the upstreams were known. It is
+    //! used for the first engine at the sidecar's address. A null link drops the unused connection.
     void adopt( std::shared_ptr<SidecarLink> link );
-    //! Brings the nodes in line with the registry.
+    //! Updates the nodes to match the registry.
     void sync( const std::map<std::string, Member>& members, MonoTime now );
-    //! The same for those members alone.
+    //! The same for the changed members only.
     void sync( const std::map<std::string, Member>& members, const std::set<std::string>& changed,
                MonoTime now );
     void setConfiguration( std::shared_ptr<const RouteTable> table, MonoTime now );
-    //! All halls that are emptied, by a list that may be older than now.
+    //! Sets the halls that are being evacuated, from a list whose orders may have been given
+    //! earlier.
     void setEvacuations( const std::set<std::string>& halls, MonoTime now );
-    //! A hall is emptied from now on, or no longer.
+    //! Starts or ends the evacuation of a hall.
     void setEvacuation( const std::string& hall, bool emptied, MonoTime now );
-    //! Regular work: connections, and demand to the sidecars.
+    //! Periodic work: selects connections, sends demand to the sidecars and adds replicas.
     void tick( MonoTime now );
 
-    //! Chooses among the upstreams of a service that are not in `excluded`.
+    //! Chooses among the upstreams of the service whose ids are not in `excluded`.
     Choice choose( const Need& need, const std::set<std::string>& excluded, MonoTime now ) const;
-    //! Asks a node's sidecar for what a request needs there. The leave that `ready` gives is used
-    //! by a send, or handed back.
+    //! Asks a node's sidecar to load what a request needs and to permit its prompt. A permit that
+    //! the answer `ready` grants is either used by a send or returned with returnPermit().
     net::Task<EnsureAnswer> ensure( NodePtr node, EnsureRequest request );
-    //! Hands back the leave to send a prompt, which has become of no use.
-    static void handBack( const Node& node, const EnsureAnswer& leave );
-    //! The prompt of a request as a sidecar is asked about it.
+    //! Returns an unused permit to send a prompt.
+    static void returnPermit( const Node& node, const EnsureAnswer& leave );
+    //! Describes a request's prompt for the query to a sidecar.
     AskedPrompt askedPrompt( const Need& need ) const;
-    //! Has a model made ready at a node that no request waits for there.
+    //! Starts loading a model at a node on behalf of no particular request.
     void startLoad( const NodePtr& node, const std::string& model );
-    //! A stream's first event came, `measuredMs` after it was sent.
+    //! Records that a stream's first event arrived `measuredMs` after the request was sent.
     void noteFirstEvent( const Generation& generation, const Choice& choice, double measuredMs );
-    //! Counts a request for a model.
+    //! Counts a request towards its model's demand.
     void countDemand( const Need& need, const Choice& choice );
 
-    //! Called with what the sidecar of an upstream passes on from the store.
+    //! Called with each store update that an upstream's sidecar relays.
     using StoreNewsHandler =
         std::function<void( const std::string& upstreamId, const StoreNews& news )>;
     void onStoreNews( StoreNewsHandler handler ) { m_onStoreNews = std::move( handler ); }
-    //! Called with what a sidecar knows to be quarantined.
+    //! Called with the quarantines that a sidecar sends.
     using QuarantineHandler = std::function<void( const decide::QuarantineNews& news )>;
-    void onQuarantines( QuarantineHandler handler ) { m_onQuarantines = std::move( handler ); }
-    //! Called with what a sidecar has heard of upstreams' limits.
+    void onQuarantineUpdate( QuarantineHandler handler ) { m_onQuarantines = std::move( handler ); }
+    //! Called with the upstream limits that a sidecar sends.
     using LimitHandler = std::function<void( const decide::LimitNews& news )>;
     void onLimits( LimitHandler handler ) { m_onLimits = std::move( handler ); }
     const std::map<std::string, NodePtr>& nodes() const noexcept { return m_nodes; }
 
-    //! Ends every wait for a model: the process is about to stop.
+    //! Fails every wait for a model, as the process is about to stop.
     void abandonWaits();
 
-    //! Gateways that share budgets, this one included.
+    //! Number of gateways that share budgets, including this one.
     int gateways() const noexcept { return m_gateways.count(); }
     std::size_t size() const noexcept { return m_nodes.size(); }
 
@@ -118,24 +119,25 @@
     struct Demand {
         std::string service;
         double perS = 0;
-        double workPerS = 0;     //!< prompt reading asked for, in milliseconds a second
-        double arrivals = 0;     //!< since the last tick
-        double arrivedWork = 0;  //!< likewise
-        decide::ModelLoad fleet; //!< over all gateways, as sidecars said last
+        double workPerS = 0;     //!< requested prompt reading, in milliseconds a second
+        double arrivals = 0;     //!< requests since the last tick
+        double arrivedWork = 0;  //!< prompt reading since the last tick, in milliseconds
+        decide::ModelLoad fleet; //!< over all gateways, as last reported by sidecars
     };
 
-    //! Until an upstream takes requests again.
-    struct Rest {
-        Millis time{ 0 };
-        bool full = false; //!< it has reached its limit; else it asked for a back-off
+    //! Why an upstream takes no requests now and for how long.
+    struct Unavailability {
+        Millis timeLeft{ 0 };
+        bool atLimit = false; //!< the upstream reached its limit; else it asked for a back-off
     };
 
-    //! True when a node is there for a request, whatever it holds.
+    //! True if a node may serve a request, regardless of the models that it holds.
     bool mayServe( const Node& node, const Need& need, MonoTime now ) const;
-    static Rest restOf( const Node& node, MonoTime now );
+    static Unavailability unavailabilityOf( const Node& node, MonoTime now );
+    //! `justOrdered`: the order was given now; else it may have been given earlier.
     void beginEvacuation( const std::string& hall, bool justOrdered, MonoTime now );
     void endEvacuation( const std::string& hall, MonoTime now );
-    //! Has copies made elsewhere of what only a hall holds.
+    //! Loads copies in other halls of the models that only `hall` holds.
     void copyFrom( const std::string& hall, MonoTime now );
     void addReplicas( const std::map<std::string, int>& held, MonoTime now );
     void addReplica( const std::string& service, const std::string& model, double load,
@@ -143,10 +145,10 @@
     void add( const Upstream& upstream, MonoTime now );
     void update( Node& node, const Upstream& listed, MonoTime now );
     void remove( const std::string& id );
-    //! Region of an upstream; empty when its hall is not known.
+    //! Region of an upstream; empty if its hall is unknown.
     std::string_view regionOf( const Node& node ) const;
     Distance distanceTo( const Node& node ) const;
-    //! Opens and closes connections to sidecars, by use.
+    //! Opens and closes connections to sidecars according to their use.
     void chooseLinks( MonoTime now );
     decide::LinkCandidate linkCandidate( const Node& node, MonoTime now ) const;
     DemandNews demandFor( Node& node, MonoTime now );
@@ -155,13 +157,13 @@
     static void stopSidecar( Node& node );
     void setEngine( Node& node );
     std::shared_ptr<SidecarLink> linkTo( const Upstream& upstream );
-    //! The description of a service's engines; the one known before while it says the same.
+    //! The encoded description of a service's engines; the cached one while it is unchanged.
     SpecTextPtr specOf( const Service& service );
     SidecarLink::Handlers sidecarHandlers( const std::string& id );
     void takeReport( Node& node, const SidecarReport& report );
     void takeLoad( Node& node, const EngineLoad& load );
-    void countGateways( const Node& node, int seen, MonoTime now );
-    //! True when this gateway may allow a load from the weight store now.
+    void noteGatewayCount( const Node& node, int seen, MonoTime now );
+    //! True if this gateway may permit a load from the weight store now.
     bool mayUseStore( const Node& node, const std::string& model, MonoTime now );
 
     net::asio::io_context& m_context;
@@ -172,14 +174,15 @@
         std::shared_ptr<const EngineSpec> engine;
         SpecTextPtr text;
     };
-    std::map<std::string, KnownSpec> m_specs; //!< by service
-    std::shared_ptr<SidecarLink> m_early;     //!< see adopt(); null: none, or used
+    std::map<std::string, KnownSpec> m_specs;  //!< by service
+    std::shared_ptr<SidecarLink> m_unusedLink; //!< see adopt(); null: none, or already used
     std::map<std::string, NodePtr> m_nodes;
     std::map<std::string, Demand> m_demand; //!< by model
-    std::map<std::string, int> m_held;      //!< upstreams that hold a model, as of the last tick
+    std::map<std::string, int>
+        m_copies; //!< number of upstreams that hold a model, at the last tick
     decide::Evacuations m_evacuations;
     ModelPace m_pace;
-    StoreGrants m_grants; //!< over the rate's window and a grant's life: it counts when loads begin
+    StoreGrants m_grants; //!< the rate counts when loads start: window plus lifetime
     StoreNewsHandler m_onStoreNews;
     QuarantineHandler m_onQuarantines;
     LimitHandler m_onLimits;
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Which upstream a request goes to.
+// Chooses the upstream for a request.
 #include "gateway/fleet.hpp"
 
 #include <algorithm>
@@ -27,11 +27,11 @@
     return anywhere || decide::mayServe( need.homes, regionOf( node ) );
 }
 
-Fleet::Rest Fleet::restOf( const Node& node, MonoTime now ) {
-    Rest out;
+Fleet::Unavailability Fleet::unavailabilityOf( const Node& node, MonoTime now ) {
+    Unavailability out;
     const auto backoff = node.announced.backoffLeft( now );
-    out.full = node.limit.fullLeft( now ).count() > 0;
-    out.time = out.full ? std::max( backoff, node.limit.comeBackLeft( now ) ) : backoff;
+    out.atLimit = node.limit.fullLeft( now ).count() > 0;
+    out.timeLeft = out.atLimit ? std::max( backoff, node.limit.comeBackLeft( now ) ) : backoff;
     return out;
 }
 
@@ -39,10 +39,10 @@
                       MonoTime now ) const {
     std::vector<Candidate> candidates;
     std::vector<NodePtr> nodes;
-    // Those that would have to load the model first.
-    std::vector<NodePtr> others;
-    // When the first that has what it needs takes requests again, those that turned this one away
-    // among them.
+    // Nodes that would have to load the model first.
+    std::vector<NodePtr> loadCandidates;
+    // Time until the first node that holds the model takes requests again, including nodes that
+    // have already refused this request.
     std::optional<Millis> soonest;
     std::optional<Millis> soonestBackoff;
     const auto consider = [&]( const NodePtr& node ) {
@@ -55,13 +55,14 @@
         }
         const bool holds =
             need.generation == nullptr || node->holdsModel( need.generation->model, now );
-        const auto rest = restOf( *node, now );
-        if( rest.time.count() > 0 || rest.full ) {
+        const auto wait = unavailabilityOf( *node, now );
+        if( wait.timeLeft.count() > 0 || wait.atLimit ) {
             if( holds ) {
-                soonest = std::min( soonest.value_or( rest.time ), rest.time );
+                soonest = std::min( soonest.value_or( wait.timeLeft ), wait.timeLeft );
             }
-            if( holds && !rest.full ) {
-                soonestBackoff = std::min( soonestBackoff.value_or( rest.time ), rest.time );
+            if( holds && !wait.atLimit ) {
+                soonestBackoff =
+                    std::min( soonestBackoff.value_or( wait.timeLeft ), wait.timeLeft );
             }
             continue;
         }
@@ -71,22 +72,24 @@
         if( holds || node->loading.contains( need.generation->model ) ) {
             consider( node );
         } else {
-            others.push_back( node );
+            loadCandidates.push_back( node );
         }
     }
     assumeUnseen( candidates );
     auto best = gateway::choose( candidates );
-    // A load costs more than most waits: the many that do not hold the model are looked at only
-    // where none that does is good enough.
-    const bool good = best && !candidates[*best].avoided && need.generation != nullptr &&
-                      beatsAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
-    if( !good && !others.empty() ) {
-        std::for_each( others.begin(), others.end(), consider );
+    // A load costs more than most waits. The many nodes that do not hold the model are considered
+    // only if no node that holds it is cheaper than any load.
+    const bool good =
+        best && !candidates[*best].avoided && need.generation != nullptr &&
+        cheaperThanAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
+    if( !good && !loadCandidates.empty() ) {
+        std::for_each( loadCandidates.begin(), loadCandidates.end(), consider );
         assumeUnseen( candidates );
         best = gateway::choose( candidates );
     }
-    // A load elsewhere that takes longer than a back-off would only push another model out. A limit
-    // may last: what it leaves no room for is served elsewhere, loaded first if need be.
+    // If a load elsewhere takes longer than a back-off, waiting is better: the load would only
+    // evict another model. A limit may last, so requests beyond it are served elsewhere, after a
+    // load if necessary.
     const bool backoffIsNearer =
         soonestBackoff && best &&
         candidates[*best].loadMs > static_cast<double>( soonestBackoff->count() );
--- a/src/gateway/fleet_copies.cpp
+++ b/src/gateway/fleet_copies.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Which models get another copy, and halls that are emptied, whose models need one elsewhere.
+// Adds replicas of models under high load, and copies of models from halls that are evacuated.
 #include "coursehead/kernel/log.hpp"
 #include "gateway/fleet.hpp"
 #include "kernel/hash.hpp"
@@ -14,8 +14,9 @@
 
 namespace {
 
-//! A load that nobody waits for: the longest takes half of this from the weight store.
-constexpr Millis replicaLimit{ 10000 };
+//! Time limit of a load that no request waits for. The longest load from the weight store takes
+//! half of this.
+constexpr Millis replicaLoadTimeout{ 10000 };
 
 } // namespace
 
@@ -78,7 +79,8 @@
             ( leaves ? inside : elsewhere ).insert( resident.model );
         }
     }
-    // Most asked for first: the weight store's rate does not let all begin at once.
+    // Models with the highest demand first, as the weight store's rate does not allow all loads to
+    // start at once.
     std::vector<std::pair<double, std::string>> wanted;
     for( const auto& [model, demand] : m_demand ) {
         const bool lost = inside.contains( model ) && !elsewhere.contains( model );
@@ -143,7 +145,7 @@
     auto task = [this, node, name = model]() -> net::Task<> {
         EnsureRequest request;
         request.model = name;
-        request.limitMs = replicaLimit.count();
+        request.limitMs = replicaLoadTimeout.count();
         NodePtr at = node;
         co_await ensure( std::move( at ), std::move( request ) );
     };
--- a/src/gateway/fleet_demand.cpp
+++ b/src/gateway/fleet_demand.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// What is asked for, by model: counted here, told to the sidecars.
+// Measures the demand for each model and sends it to the sidecars.
 #include "gateway/fleet.hpp"
 
 #include <utility>
@@ -8,7 +8,8 @@
 
 namespace {
 
-//! Demand is smoothed over about two seconds, to follow shifts that take four to six.
+//! Weight of the newest interval: smooths demand over about two seconds, which follows shifts that
+//! take four to six seconds.
 constexpr double demandSmoothing = 0.2;
 constexpr Millis demandInterval{ 400 };
 
@@ -26,10 +27,10 @@
         demand.arrivals = 0;
         demand.arrivedWork = 0;
     }
-    m_held.clear();
+    m_copies.clear();
     for( const auto& it : m_nodes ) {
         for( const auto& resident : it.second->residents( now ) ) {
-            ++m_held[resident.model];
+            ++m_copies[resident.model];
         }
     }
     chooseLinks( now );
@@ -39,7 +40,7 @@
             node.sidecar->send( demandFor( node, now ) );
         }
     }
-    addReplicas( m_held, now );
+    addReplicas( m_copies, now );
 }
 
 DemandNews Fleet::demandFor( Node& node, MonoTime now ) {
@@ -52,8 +53,8 @@
             entry.perS = demand->second.perS;
             entry.workPerS = demand->second.workPerS;
         }
-        const auto held = m_held.find( model );
-        entry.copies = held == m_held.end() ? 0 : held->second;
+        const auto held = m_copies.find( model );
+        entry.copies = held == m_copies.end() ? 0 : held->second;
         entry.running = node.runningOf( model );
         entry.adaptersUsed = node.adaptersInUse( model );
         out.models.push_back( std::move( entry ) );
--- a/src/gateway/health.cpp
+++ b/src/gateway/health.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-//! Half-life of a failure: an upstream that fails is tried again within a few seconds.
+//! Half-life of a failure, so that an upstream that failed is tried again within a few seconds.
 constexpr double failureHalfLifeS = 2.0;
-//! Half-life of a measured slowness without new measurements.
+//! Half-life of a measured slowness while there are no new measurements.
 constexpr double slownessHalfLifeS = 3.0;
 constexpr double slownessSmoothing = 0.3;
 constexpr double maxSlowness = 8.0;
-//! An unreachable upstream is tried again after this, doubled at each failure in a row.
-constexpr Millis firstAvoid{ 500 };
+//! An unreachable upstream is avoided this long, doubled for each consecutive failure.
+constexpr Millis initialAvoidance{ 500 };
 constexpr int maxAvoidDoublings = 3;
 
 double secondsBetween( MonoTime from, MonoTime to ) {
@@ -36,7 +36,7 @@
 
 void noteUnreachable( Health& health, MonoTime now ) {
     const int doublings = std::min( health.connectFailures, maxAvoidDoublings );
-    health.avoidUntil = now + firstAvoid * ( 1 << doublings );
+    health.avoidUntil = now + initialAvoidance * ( 1 << doublings );
     ++health.connectFailures;
     noteFailure( health, 1.0, now );
 }
--- a/src/gateway/health.hpp
+++ b/src/gateway/health.hpp
@@ -6,25 +6,25 @@
 
 namespace coursehead::gateway {
 
-//! What requests to an upstream showed of it lately.
+//! The health of an upstream, as measured by recent requests to it.
 struct Health {
-    double failures = 0; //!< recent failures, each fading with a half-life
+    double failures = 0; //!< recent failures, each decaying with a half-life
     MonoTime failuresAt;
     double slowness = 1; //!< measured time over expected time, smoothed
     MonoTime slownessAt;
-    int connectFailures = 0; //!< in a row
-    MonoTime avoidUntil;     //!< unreachable: not chosen before, unless nothing else is left
+    int connectFailures = 0; //!< consecutive
+    MonoTime avoidUntil;     //!< unreachable: before this, chosen only as a last resort
 };
 
-//! Failures as they weigh now.
+//! The failures, decayed to `now`.
 double recentFailures( const Health& health, MonoTime now );
-//! A request failed at the upstream, or its connection broke; `weight` 1 for a plain failure.
+//! Records that a request failed or its connection broke; `weight` is 1 for an ordinary failure.
 void noteFailure( Health& health, double weight, MonoTime now );
-//! The upstream could not be reached.
+//! Records that the upstream could not be reached.
 void noteUnreachable( Health& health, MonoTime now );
-//! A request was answered well, in `measured` where `expected` was thought.
+//! Records that a request succeeded in `measuredMs`, where `expectedMs` had been estimated.
 void noteSuccess( Health& health, double measuredMs, double expectedMs, MonoTime now );
-//! How much slower than expected, drifting back to 1 while nothing is known.
+//! The slowness, decayed towards 1 since the last measurement.
 double slownessNow( const Health& health, MonoTime now );
 
 } // namespace coursehead::gateway
--- a/src/gateway/holder_links.cpp
+++ b/src/gateway/holder_links.cpp
@@ -5,7 +5,7 @@
 
 namespace coursehead::gateway {
 
-void HolderLinks::look( MonoTime now ) {
+void HolderLinks::refresh( MonoTime now ) {
     m_links.clear();
     int gateways = 1;
     for( const auto& [id, node] : m_fleet.nodes() ) {
--- a/src/gateway/holder_links.hpp
+++ b/src/gateway/holder_links.hpp
@@ -13,20 +13,20 @@
 
 namespace coursehead::gateway {
 
-//! The sidecars that may hold what gateways keep together, one for each address, and how many
-//! gateways there are. All gateways are connected to them: who has just started reaches a holder at
-//! once, and a holder can tell all.
+//! Links to the sidecars that may hold counts shared by all gateways, one for each address, and the
+//! number of gateways. All gateways are connected to these sidecars, so that a gateway that has
+//! just started reaches a holder at once, and a holder can notify all gateways.
 class HolderLinks {
 public:
     using Map = std::map<std::string, std::shared_ptr<SidecarLink>, std::less<>>;
 
-    //! The largest count of gateways seen within `hold` counts.
+    //! The number of gateways is the largest one reported within `hold`.
     HolderLinks( Fleet& fleet, Millis hold ) : m_fleet( fleet ), m_gateways( 1, hold ) {}
 
     void setHold( Millis hold ) { m_gateways.setHold( hold ); }
-    //! Looks at the fleet as it is now.
-    void look( MonoTime now );
-    //! The sidecar at an address; null when there is none.
+    //! Updates the links and the number of gateways from the fleet.
+    void refresh( MonoTime now );
+    //! Link to the sidecar at an address; null if there is none.
     std::shared_ptr<SidecarLink> find( std::string_view address ) const;
     const Map& all() const noexcept { return m_links; }
     std::vector<decide::HolderCandidate> candidates( MonoTime now ) const;
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -7,58 +7,59 @@
 
 namespace {
 
-//! Holders are told this often what is kept there: twice within a membership, and some delay.
-constexpr Millis tellEvery{ 400 };
-//! A holder answers within some milliseconds; one that does not is busy or gone.
-constexpr Millis askTime{ 150 };
-//! The largest count of gateways seen within this time counts.
-constexpr Millis gatewaysHold{ 4000 };
+//! Interval of updates to holders: two updates and some delay fit into the time for which a holder
+//! counts this gateway.
+constexpr Millis updateInterval{ 400 };
+//! A holder answers within a few milliseconds; one that does not is overloaded or gone.
+constexpr Millis queryTimeout{ 150 };
+//! The number of gateways is the largest one reported within this time.
+constexpr Millis gatewayCountHold{ 4000 };
 
-//! Between an upstream's id and when its start began.
-constexpr char startMark = '#';
+//! Separates an upstream's id from its start time.
+constexpr char startSeparator = '#';
 
-std::string startOf( const Node& node ) {
-    return node.upstream.id + startMark + std::to_string( node.upstream.born );
+std::string startIdOf( const Node& node ) {
+    return node.upstream.id + startSeparator + std::to_string( node.upstream.born );
 }
 
 } // namespace
 
 LimitClient::LimitClient( Fleet& fleet, metrics::Metrics& metrics, std::string vm )
     : m_fleet( fleet ), m_metrics( metrics ), m_vm( std::move( vm ) ),
-      m_links( fleet, gatewaysHold ) {}
+      m_links( fleet, gatewayCountHold ) {}
 
 void LimitClient::tick( MonoTime now ) {
-    look( now );
-    if( !m_book.idle() && now - m_toldAt >= tellEvery ) {
-        tell( now );
+    refreshHolders( now );
+    if( !m_book.idle() && now - m_updatesSentAt >= updateInterval ) {
+        sendUpdates( now );
     }
 }
 
-void LimitClient::look( MonoTime now ) {
+void LimitClient::refreshHolders( MonoTime now ) {
     decide::LimitBook::Words words;
     for( const auto& it : m_fleet.nodes() ) {
         const Node& node = *it.second;
         if( decide::concerns( node.limit.known, now ) ) {
-            auto word = decide::wordOf( startOf( node ), node.limit.known, now );
-            words.emplace( startOf( node ), std::move( word ) );
+            auto word = decide::wordOf( startIdOf( node ), node.limit.known, now );
+            words.emplace( startIdOf( node ), std::move( word ) );
         }
     }
     m_book.setWords( std::move( words ) );
     if( m_book.idle() ) {
         return;
     }
-    m_links.look( now );
+    m_links.refresh( now );
     if( m_book.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "limit_holders_changed",
                    { { "limits", static_cast<std::int64_t>( m_book.size() ) },
                      { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
-        tell( now );
+        sendUpdates( now );
     }
 }
 
-void LimitClient::tell( MonoTime now ) {
-    m_toldAt = now;
+void LimitClient::sendUpdates( MonoTime now ) {
+    m_updatesSentAt = now;
     for( const auto& [address, link] : m_links.all() ) {
         if( !link->mayAnswer( now ) ) {
             continue;
@@ -73,9 +74,9 @@
 
 void LimitClient::take( const decide::LimitNews& news, MonoTime now ) {
     for( const auto& word : news.words ) {
-        const auto id = word.start.substr( 0, word.start.rfind( startMark ) );
+        const auto id = word.start.substr( 0, word.start.rfind( startSeparator ) );
         const auto it = m_fleet.nodes().find( id );
-        const bool known = it != m_fleet.nodes().end() && startOf( *it->second ) == word.start;
+        const bool known = it != m_fleet.nodes().end() && startIdOf( *it->second ) == word.start;
         if( known && decide::takeWord( it->second->limit.known, word, now ) ) {
             const auto perS = it->second->limit.known.perS();
             log::info(
@@ -87,17 +88,17 @@
 
 net::Task<decide::LimitDecision> LimitClient::obtain( NodePtr node ) {
     const auto asked = MonoClock::now();
-    const auto start = startOf( *node );
+    const auto start = startIdOf( *node );
     if( !m_book.knows( start ) ) {
-        look( asked );
-        tell( asked );
+        refreshHolders( asked );
+        sendUpdates( asked );
     }
     const auto link = m_links.find( m_book.holderOf( start, asked ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
         decide::LimitAsk question;
         question.word = decide::wordOf( start, node->limit.known, asked );
-        answer = co_await link->askLimit( std::move( question ), askTime );
+        answer = co_await link->askLimit( std::move( question ), queryTimeout );
     }
     const auto decision =
         decide::followLimit( node->limit, answer, m_fleet.gateways(), asked, MonoClock::now() );
@@ -106,7 +107,7 @@
 }
 
 void LimitClient::giveBack( const Node& node ) {
-    const auto start = startOf( node );
+    const auto start = startIdOf( node );
     const auto link = m_links.find( m_book.holderOf( start, MonoClock::now() ) );
     if( link ) {
         link->send( Message( decide::LimitReturn{ start } ) );
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -11,35 +11,35 @@
 
 namespace coursehead::gateway {
 
-//! Obtains leave to send to upstreams that have named a limit: from those that hold the limits, or
-//! by this gateway's own turns while none can be asked.
+//! Obtains permits to send to upstreams that have announced a limit: from the sidecars that hold
+//! the limits or, while no holder can be asked, from this gateway's own share of the limit.
 class LimitClient {
 public:
     LimitClient( Fleet& fleet, metrics::Metrics& metrics, std::string vm );
 
-    //! Regular work: who holds which limit, and what they are told.
+    //! Periodic work: determines the holders of the limits and sends them updates.
     void tick( MonoTime now );
-    //! What others have heard of limits.
+    //! Applies what other gateways and sidecars have learnt of limits.
     void take( const decide::LimitNews& news, MonoTime now );
-    //! Leave for one request to an upstream with a limit. Where there is no room its node knows
-    //! from when on there may be.
+    //! Requests a permit for one request to an upstream with a limit. If the limit is reached, the
+    //! node's state records when the upstream may take requests again.
     net::Task<decide::LimitDecision> obtain( NodePtr node );
-    //! A request that a holder had granted was not sent.
+    //! Returns the permit for a request that was not sent to its holder.
     void giveBack( const Node& node );
 
 private:
-    void look( MonoTime now );
-    void tell( MonoTime now );
+    void refreshHolders( MonoTime now );
+    void sendUpdates( MonoTime now );
 
     Fleet& m_fleet;
     metrics::Metrics& m_metrics;
     std::string m_vm;
     HolderLinks m_links;
     decide::LimitBook m_book;
-    MonoTime m_toldAt;
+    MonoTime m_updatesSentAt;
 };
 
-//! Leave for one request. Unless it is used its holder hears that the request does not come.
+//! A permit for one request. If it is not used, the destructor returns it to the limit's holder.
 class LimitLeave {
 public:
     LimitLeave( LimitClient& client, NodePtr node )
@@ -56,7 +56,7 @@
 
 private:
     LimitClient& m_client;
-    NodePtr m_node; //!< null once the leave is used
+    NodePtr m_node; //!< null once the permit is used
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -13,15 +13,15 @@
 #include <string>
 #include <vector>
 
-//! What the forwarding front knows: configuration, upstreams and what upstreams report.
+//! The data model of a gateway: configuration, upstreams and reports of engines.
 namespace coursehead::gateway {
 
 //! A model that an engine service offers.
 struct ModelSpec {
     std::string name;
     double weightsMb = 0;
-    double adapterMb = 0;   //!< of each adapter
-    int adapters = 0;       //!< how many exist
+    double adapterMb = 0;   //!< size of each adapter
+    int adapters = 0;       //!< number of adapters that exist for the model
     Millis storeLoad{ 0 };  //!< load time from the weight store
     Millis diskLoad{ 0 };   //!< load time from the upstream's disk
     Millis memoryLoad{ 0 }; //!< load time from the upstream's host memory
@@ -29,29 +29,29 @@
     bool operator==( const ModelSpec& ) const = default;
 };
 
-//! What each engine of a service is built like.
+//! The capacity of each engine of a service and the models that it offers.
 struct EngineSpec {
-    int slots = 0;                //!< requests run at once
-    std::int64_t cacheTokens = 0; //!< KV memory, in tokens
-    double weightsMb = 0;         //!< room for weights and adapters together
+    int slots = 0;                //!< requests that run at the same time
+    std::int64_t cacheTokens = 0; //!< size of the KV cache, in tokens
+    double weightsMb = 0;         //!< memory for weights and adapters together
     int adapterSlots = 0;
-    double storeLoadsPerS = 0; //!< loads a second that the weight store allows to all upstreams
+    double storeLoadsPerS = 0; //!< loads a second that the weight store permits, all upstreams
     std::vector<ModelSpec> models;
 
     const ModelSpec* find( std::string_view model ) const;
     bool operator==( const EngineSpec& ) const = default;
 };
 
-//! A service that routes lead to.
+//! A service that routes forward requests to.
 struct Service {
     std::string name;
-    int connectionLimit = 0; //!< connections an upstream accepts from all callers together
-    Millis coldTime{ 0 };    //!< an upstream is cold for so long after its start
-    double coldPerS = 0;     //!< requests a second that one bears while it is cold
+    int connectionLimit = 0; //!< connections that an upstream accepts from all gateways
+    Millis coldTime{ 0 };    //!< an upstream is cold for this long after its start
+    double coldPerS = 0;     //!< requests a second that a cold upstream can take
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
 };
 
-//! What may be done with a request of a route once it was sent.
+//! Whether a request of a route may be sent again.
 enum class RequestKind {
     repeatable, //!< may run more than once
     once,       //!< may run at most once
@@ -68,21 +68,21 @@
     std::string host;
     std::string pathPrefix;
     RequestKind kind = RequestKind::once;
-    Millis timeout{ 0 };   //!< the longest a request may be held
-    Millis goal{ 0 };      //!< an answer (or first event) within it has its full value
-    Millis gapTarget{ 0 }; //!< longest pause between events that still counts as in time
+    Millis timeout{ 0 };   //!< longest time until a request is answered
+    Millis goal{ 0 };      //!< an answer or first event within this has its full value
+    Millis gapTarget{ 0 }; //!< longest pause between events that counts as in time
     int priority = 0;      //!< 0 is the highest
-    int attempts = 1;      //!< upstreams that one request may go to
+    int attempts = 1;      //!< upstreams that one request may be sent to
     bool resumable = false;
-    bool keyless = false;                 //!< needs no key
-    std::vector<std::string> homeRegions; //!< served in these only; empty: anywhere
+    bool keyless = false;                 //!< requests need no key
+    std::vector<std::string> homeRegions; //!< requests are served in these only; empty: anywhere
     std::vector<Split> splits;
 
-    //! True when a second run does no harm.
+    //! True if a request may run more than once.
     bool idempotent() const noexcept { return kind == RequestKind::repeatable || resumable; }
 };
 
-//! Bounds on what a client may send, and how long it may take.
+//! Limits on the size of a client's requests and on the time it may take to send them.
 struct ClientLimits {
     std::uint32_t headerBytes = 16384;
     std::uint64_t bodyBytes = 4U << 20U;
@@ -94,7 +94,7 @@
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::map<std::string, Service, std::less<>> services;
-    bool keyed = false; //!< requests carry keys, but for those on keyless routes
+    bool keyed = false; //!< requests need a key, except on keyless routes
     std::vector<Organisation> organisations;
     ClientLimits limits;
 };
@@ -109,55 +109,55 @@
     bool operator==( const Resident& ) const = default;
 };
 
-//! When a start of an upstream began, in Unix milliseconds by its own clock; 0: not told. Compared
-//! between starts of one upstream only.
+//! When a process of an upstream was started, in Unix milliseconds by its own clock; 0: unknown.
+//! Only comparable between starts of the same upstream.
 using Born = std::int64_t;
 
-//! True when something about one start is older than what is known: it comes too late.
+//! True if a message about the start `told` is outdated, because a later start is known already.
 inline bool isFormer( Born told, Born known ) noexcept {
     return told != 0 && told < known;
 }
 
-//! An upstream as the platform lists it. It may start again under its id, and knows nothing then.
+//! An upstream as the platform lists it. It may restart under the same id and then has no state.
 struct Upstream {
     std::string id;
     Born born = 0;
-    decide::StorePosition created; //!< in the store, at which it was first listed
+    decide::StorePosition created; //!< position in the store at which it was first listed
     std::string service;
     std::string ip;
     int port = 0;
     std::string hall;
     int slots = 1;
     UpstreamState state = UpstreamState::ready;
-    std::optional<Millis> remaining; //!< given when it leaves at short notice
-    Millis cold{ 0 };                //!< it stays cold for so much longer, by its entry
+    std::optional<Millis> remaining; //!< time until it stops; set if it stops at short notice
+    Millis cold{ 0 };                //!< remaining time for which it is cold, by its entry
     std::vector<Resident> residents;
 };
 
 //! A request that an engine runs.
 struct EngineRun {
     std::string id;
-    std::int64_t events = 0; //!< made so far
+    std::int64_t events = 0; //!< events produced so far
 
     bool operator==( const EngineRun& ) const = default;
 };
 
-//! What an engine tells about itself.
+//! The state of an engine, as it reports it.
 struct EngineReport {
     Born born = 0;
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters on their way: MODEL/NAME
+    std::vector<std::string> coming; //!< adapters that are being loaded: MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
-    bool ordering = false;      //!< an order is under way
-    std::uint64_t sequence = 0; //!< orders taken
+    bool ordering = false;      //!< an order is in progress
+    std::uint64_t sequence = 0; //!< number of orders accepted
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling =
-        0; //!< running requests without an event yet: their prompts are being read
+        0; //!< running requests without an event yet, whose prompts are being read
     std::int64_t cacheUsed = 0;
     std::int64_t cacheTotal = 0;
-    std::vector<EngineRun> runs; //!< not passed on to gateways
+    std::vector<EngineRun> runs; //!< not forwarded to gateways
 
     bool operator==( const EngineReport& ) const = default;
 };
@@ -168,7 +168,7 @@
     std::int64_t tokens = 0;
 };
 
-//! What a request says of the generation it asks for.
+//! The parameters of a generation, as stated by its request.
 struct Generation {
     std::string model;
     std::string adapter; //!< empty: none
--- a/src/gateway/organisation.hpp
+++ b/src/gateway/organisation.hpp
@@ -10,12 +10,12 @@
 #include <string_view>
 #include <vector>
 
-//! Who requests come from: organisations, their keys, and what they may ask for.
+//! Organisations that send requests, their keys and their quotas.
 namespace coursehead::gateway {
 
 /**
- * SHA-256 of a client's key. Keys are kept and compared in this form alone: it can stand in memory
- * and messages without giving a key away, and how long a comparison takes tells nothing of one.
+ * SHA-256 of a client's key. Keys are stored and compared only in this form: a digest in memory or
+ * in a message does not reveal the key, and neither does the time that a comparison takes.
  */
 struct KeyDigest {
     static constexpr std::size_t size = 32;
@@ -26,7 +26,7 @@
 
 KeyDigest digestOf( std::string_view key );
 
-//! For hash tables: a digest's first bytes are as good a hash as any.
+//! Hash for unordered containers: the first bytes of a digest are uniformly distributed.
 struct KeyDigestHash {
     std::size_t operator()( const KeyDigest& digest ) const noexcept {
         std::size_t out = 0;
@@ -35,27 +35,27 @@
     }
 };
 
-//! What a quota counts.
+//! The unit that a quota counts.
 enum class QuotaUnit { requests, tokens };
 
-//! How much an organisation may ask for, over all gateways together.
+//! Rate limit of an organisation, over all gateways together.
 struct QuotaLimit {
-    double perS = 0;  //!< units a second; 0: no limit
-    double burst = 0; //!< units on top
+    double perS = 0;  //!< units a second; 0: unlimited
+    double burst = 0; //!< units that may be used at once beyond the rate
     QuotaUnit unit = QuotaUnit::requests;
-    std::int64_t plainTokens = 0; //!< what a request counts that does not say its tokens
+    std::int64_t plainTokens = 0; //!< tokens charged to a request that does not state them
 
     bool operator==( const QuotaLimit& ) const = default;
     bool limited() const noexcept { return perS > 0; }
 };
 
-//! What a request takes from its organisation's quota; `tokens` as the request says them.
+//! Units that a request uses of its organisation's quota; `tokens` as stated by the request.
 double chargeOf( const QuotaLimit& limit, std::optional<std::int64_t> tokens );
 
 struct Organisation {
     std::string name;
     std::vector<KeyDigest> keys;
-    std::optional<int> priority; //!< takes the place of the routes' own; 0 is the highest
+    std::optional<int> priority; //!< overrides the routes' priority; 0 is the highest
     QuotaLimit limit;
     std::vector<std::string>
         homeRegions; //!< its requests are served in these only; empty: anywhere
--- a/src/gateway/pace.hpp
+++ b/src/gateway/pace.hpp
@@ -9,13 +9,15 @@
 
 namespace coursehead::gateway {
 
-//! How fast engines read prompts, by model: larger models run slower, and no configuration says by
-//! how much. Learnt from requests that met an engine without a queue.
+//! How fast engines read prompts, by model. Larger models read more slowly, and the configuration
+//! does not say by how much, so the rate is learnt from requests that found no queue at their
+//! engine.
 class ModelPace {
 public:
-    //! Milliseconds to read `tokens` of a prompt.
+    //! Estimated milliseconds to read `tokens` tokens of a prompt.
     double readingMs( std::string_view model, double tokens ) const;
-    //! A prompt of which `tokens` had to be read had its first event after `measuredMs`.
+    //! Records that the first event came after `measuredMs` for a prompt with `tokens` uncached
+    //! tokens.
     void note( std::string_view model, double tokens, double measuredMs );
 
 private:
--- a/src/gateway/patience.cpp
+++ b/src/gateway/patience.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-// Clients leave a stream after a gap of the longest of these three, before its first event too. The
-// figures are the clients': they stand in the platform's description of its wire.
-constexpr Millis leastGap{ 2000 };
-constexpr int goalsPerGap = 4;
-constexpr int gapTargetsPerGap = 8;
-
-//! Kept back for the way to the upstream and back, the first step of the engine, and a loop that
-//! is late: the first event must be with the client before it leaves.
-constexpr Millis wayBack{ 120 };
-
-//! A request that comes before the configuration waits for it this long: a process that starts has
-//! it after 20 to 90 ms when the store answers. With the retry after two seconds that was told
-//! before, 194 requests after a loss of power came back when their time was nearly over.
-constexpr Millis startPatience{ 500 };
-//! A process that knows nothing by then has no store: its requests are refused at once. On the
-//! thinnest VMs it takes 0.3 s for a large configuration to come over the link.
-constexpr Millis startTime{ 1500 };
+// A client disconnects from a stream after a pause longer than the largest of these three, also
+// before the first event. The platform's protocol description states these values.
+constexpr Millis minPauseTimeout{ 2000 };
+constexpr int goalsPerPauseTimeout = 4;
+constexpr int gapTargetsPerPauseTimeout = 8;
+
+//! Reserve for the transfer to the upstream and back, the engine's first step and a delayed event
+//! loop, so that the first event reaches the client before it disconnects.
+constexpr Millis deliveryReserve{ 120 };
+
+//! A request that arrives before the configuration waits for it this long. A starting process has
+//! the configuration after 20 to 90 ms if the store answers. If such requests were refused with a
+//! Retry-After of two seconds, clients would retry when their deadline is nearly over.
+constexpr Millis startupRequestWait{ 500 };
+//! A process that has no configuration this long after its start cannot reach the store and refuses
+//! requests at once. On VMs with the narrowest links a large configuration takes 0.3 s to arrive.
+constexpr Millis startupTimeout{ 1500 };
 
 } // namespace
 
@@ -32,19 +32,19 @@
     out.whole = deadline ? std::min( *deadline, route.timeout ) : route.timeout;
     out.firstEvent = out.whole;
     if( route.kind == RequestKind::stream ) {
-        out.pause =
-            std::max( { leastGap, route.goal * goalsPerGap, route.gapTarget * gapTargetsPerGap } );
+        out.pause = std::max( { minPauseTimeout, route.goal * goalsPerPauseTimeout,
+                                route.gapTarget * gapTargetsPerPauseTimeout } );
         out.firstEvent = std::min( out.whole, out.pause );
     }
     return out;
 }
 
 Millis longestWait( const Patience& patience, Millis work ) {
-    return std::max( patience.firstEvent - work - wayBack, Millis{ 0 } );
+    return std::max( patience.firstEvent - work - deliveryReserve, Millis{ 0 } );
 }
 
 MonoTime startWaitEnd( MonoTime arrived, MonoTime processStart ) {
-    return std::min( arrived + startPatience, processStart + startTime );
+    return std::min( arrived + startupRequestWait, processStart + startupTimeout );
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/patience.hpp
+++ b/src/gateway/patience.hpp
@@ -8,24 +8,25 @@
 
 namespace coursehead::gateway {
 
-//! How long a client waits. What would come later is made for nobody.
+//! How long a client waits before it disconnects. Anything generated later is wasted.
 struct Patience {
-    Millis firstEvent{ 0 }; //!< from its request to a stream's first event, or to a whole answer
-    Millis pause{ 0 };      //!< between the events of a stream; 0: whole answers have none
-    Millis whole{ 0 };      //!< from its request to the answer's end
+    Millis firstEvent{
+        0 };           //!< from its request to a stream's first event or to the complete answer
+    Millis pause{ 0 }; //!< between the events of a stream; 0: not a stream
+    Millis whole{ 0 }; //!< from its request to the end of the answer
 };
 
-//! The patience of a client that sent a request on a route, with the deadline that it gave.
+//! The timeouts of a client whose request came on `route`, with the deadline that it stated.
 Patience patienceOf( const Route& route, std::optional<Millis> deadline );
 
 /**
- * How long a request may wait for something that it needs before it is sent, counted from its
- * arrival, when the upstream then takes `work` until the first event or the answer. Zero when
- * waiting serves nobody.
+ * How long a request may wait before it is sent, counted from its arrival, if the upstream then
+ * takes `work` until the first event or the answer. Zero if the answer would be too late in any
+ * case.
  */
 Millis longestWait( const Patience& patience, Millis work );
 
-//! Until when a request waits at a process that does not know configuration and upstreams yet.
+//! Until when a request waits in a process that has no configuration and upstreams yet.
 MonoTime startWaitEnd( MonoTime arrived, MonoTime processStart );
 
 } // namespace coursehead::gateway
--- a/src/gateway/poison_guard.cpp
+++ b/src/gateway/poison_guard.cpp
@@ -8,20 +8,22 @@
 
 namespace {
 
-//! An ended process refuses at once; a VM without power says nothing.
-constexpr Millis probeLimit{ 300 };
-//! A link in between may accept for an upstream that has ended, and close at once.
-constexpr Millis probeStays{ 60 };
-//! Others see an engine's end, or its next start, within this.
-constexpr Millis othersSee{ 1000 };
-//! Broken runs told of one upstream: its places, and as many that waited.
-constexpr std::size_t mostRuns = 128;
-//! Contents that a line names.
-constexpr std::size_t mostLogged = 8;
+//! The VM of a process that has ended refuses connections at once; a VM without power does not
+//! answer.
+constexpr Millis probeTimeout{ 300 };
+//! A proxy on the path may accept a connection to an upstream that has ended and then close it at
+//! once. A connection that stays open this long counts as accepted by the upstream.
+constexpr Millis openConnectionWait{ 60 };
+//! The sidecar's reports or the store show an engine's end or next start within this time.
+constexpr Millis endVisibleWithin{ 1000 };
+//! Broken runs kept for one upstream: as many as it has slots, and as many requests that waited.
+constexpr std::size_t maxBrokenRuns = 128;
+//! Fingerprints listed in one log line.
+constexpr std::size_t maxLoggedFingerprints = 8;
 
-std::string namesOf( std::span<const decide::BrokenRun> runs ) {
+std::string fingerprintList( std::span<const decide::BrokenRun> runs ) {
     std::string out;
-    for( const auto& it : runs.first( std::min( runs.size(), mostLogged ) ) ) {
+    for( const auto& it : runs.first( std::min( runs.size(), maxLoggedFingerprints ) ) ) {
         out += ( out.empty() ? "" : "," ) + decide::fingerprintText( it.fingerprint );
     }
     return out;
@@ -31,30 +33,30 @@
 
 PoisonGuard::PoisonGuard( net::asio::io_context& context, Fleet& fleet, metrics::Metrics& metrics )
     : m_context( context ), m_fleet( fleet ), m_metrics( metrics ) {
-    m_fleet.onQuarantines(
+    m_fleet.onQuarantineUpdate(
         [this]( const decide::QuarantineNews& news ) { take( news.entries, "sidecar" ); } );
 }
 
-void PoisonGuard::noteBroken( const NodePtr& node, decide::Fingerprint fingerprint,
-                              double weight ) {
-    // Of an upstream that was about to leave nothing can be concluded.
+void PoisonGuard::noteBrokenRun( const NodePtr& node, decide::Fingerprint fingerprint,
+                                 double weight ) {
+    // An upstream that was about to shut down breaks connections whatever their content.
     const bool leaving = node->leaving() || node->leavesAt;
-    // Sends that were under way when their content was quarantined show nothing new.
-    const bool known = holdLeft( fingerprint, MonoClock::now() ).count() > 0;
-    if( leaving || known || m_whole.forgive( fingerprint ) ) {
+    // Sends that were in progress when their content was quarantined add no evidence.
+    const bool known = quarantineLeft( fingerprint, MonoClock::now() ).count() > 0;
+    if( leaving || known || m_completedRuns.forgive( fingerprint ) ) {
         return;
     }
     auto [it, first] = m_broken.try_emplace( node->upstream.id );
-    if( it->second.size() < mostRuns ) {
+    if( it->second.size() < maxBrokenRuns ) {
         it->second.push_back( { fingerprint, weight, m_quarantines.times( fingerprint ) } );
     }
     if( first ) {
-        net::start( m_context, settle( node ), "upstream's end" );
+        net::start( m_context, investigateBrokenRuns( node ), "upstream's end" );
     }
 }
 
-void PoisonGuard::noteWhole( decide::Fingerprint fingerprint ) {
-    m_whole.note( fingerprint );
+void PoisonGuard::noteCompletedRun( decide::Fingerprint fingerprint ) {
+    m_completedRuns.note( fingerprint );
     const bool suspected = m_book.clear( fingerprint );
     const bool quarantined = m_quarantines.times( fingerprint ) > 0;
     if( !suspected && !quarantined ) {
@@ -63,7 +65,7 @@
     m_quarantines.clear( fingerprint );
     log::info( "poison_cleared", { { "fingerprint", decide::fingerprintText( fingerprint ) },
                                    { "quarantined", quarantined ? "yes" : "no" } } );
-    for( const auto& it : holders( fingerprint, MonoClock::now() ) ) {
+    for( const auto& it : evidenceHolders( fingerprint, MonoClock::now() ) ) {
         it->send( Message( decide::PoisonCleared{ fingerprint } ) );
     }
 }
@@ -73,43 +75,44 @@
     net::Socket socket( m_context );
     net::ErrorCode ec;
     const auto to = net::endpointOf( node.upstream.ip, node.upstream.port, ec );
-    ec = co_await net::connect( socket, to, probeLimit );
+    ec = co_await net::connect( socket, to, probeTimeout );
     if( ec ) {
         co_return true;
     }
-    net::SocketDeadline deadline( socket, MonoClock::now() + probeStays, net::WhenDue::cancel );
+    net::SocketDeadline deadline( socket, MonoClock::now() + openConnectionWait,
+                                  net::WhenDue::cancel );
     co_await socket.async_wait( net::Socket::wait_read, net::tupled );
     if( !deadline.expired() ) {
         co_return true;
     }
-    // Something listens there: the same start, or already the next one.
-    const auto until = MonoClock::now() + othersSee;
+    // Some process listens there: the same one, or one that was started after it ended.
+    const auto until = MonoClock::now() + endVisibleWithin;
     while( MonoClock::now() < until ) {
         const bool another = node.upstream.born != born;
         if( node.gone || node.replaced || another || !node.engineReachable ) {
             co_return true;
         }
-        co_await net::pause( m_context, probeStays );
+        co_await net::pause( m_context, openConnectionWait );
     }
     co_return false;
 }
 
-net::Task<> PoisonGuard::settle( NodePtr node ) {
+net::Task<> PoisonGuard::investigateBrokenRuns( NodePtr node ) {
     const bool ended = co_await hasEnded( *node );
     auto found = m_broken.extract( node->upstream.id );
     auto& runs = found.mapped();
     log::info( ended ? "upstream_ended" : "upstream_lives",
                { { "upstream", node->upstream.id },
                  { "broken", static_cast<std::int64_t>( runs.size() ) },
-                 { "fingerprints", namesOf( runs ) } } );
+                 { "fingerprints", fingerprintList( runs ) } } );
     if( ended ) {
         m_metrics.count( "upstreams_ended" );
-        tell( node->upstream.id, runs );
+        sendEvidence( node->upstream.id, runs );
     }
 }
 
-std::vector<std::shared_ptr<SidecarLink>> PoisonGuard::holders( decide::Fingerprint fingerprint,
-                                                                MonoTime now ) const {
+std::vector<std::shared_ptr<SidecarLink>>
+PoisonGuard::evidenceHolders( decide::Fingerprint fingerprint, MonoTime now ) const {
     std::vector<std::string_view> ips;
     std::vector<std::shared_ptr<SidecarLink>> links;
     for( const auto& [id, node] : m_fleet.nodes() ) {
@@ -125,7 +128,8 @@
     return out;
 }
 
-void PoisonGuard::tell( const std::string& upstreamId, std::span<const decide::BrokenRun> runs ) {
+void PoisonGuard::sendEvidence( const std::string& upstreamId,
+                                std::span<const decide::BrokenRun> runs ) {
     const auto now = MonoClock::now();
     std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> told;
     std::vector<decide::Quarantine> own;
@@ -133,7 +137,7 @@
         if( const auto quarantine = m_book.note( it, upstreamId, now ) ) {
             own.push_back( *quarantine );
         }
-        for( const auto& holder : holders( it.fingerprint, now ) ) {
+        for( const auto& holder : evidenceHolders( it.fingerprint, now ) ) {
             auto& evidence = told[holder];
             evidence.upstreamId = upstreamId;
             evidence.runs.push_back( it );
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -15,46 +15,49 @@
 namespace coursehead::gateway {
 
 /**
- * A gateway's part against poison requests: finds out which upstreams ended, tells those who count
- * the ends, and knows what is quarantined. Where nobody beside an engine can be told it counts
- * alone.
+ * A gateway's protection against poison requests, whose content makes upstreams crash. After broken
+ * runs it checks whether the upstream has ended, sends the evidence to the sidecars that count the
+ * ends for each fingerprint, and keeps the list of quarantines. It also counts by itself, for the
+ * case that no sidecar can be reached.
  */
 class PoisonGuard {
 public:
     PoisonGuard( net::asio::io_context& context, Fleet& fleet, metrics::Metrics& metrics );
 
-    //! How much longer a content is not to be sent; zero when it may be.
-    Millis holdLeft( decide::Fingerprint fingerprint, MonoTime now ) const {
+    //! Time for which a content stays quarantined; zero if it may be sent.
+    Millis quarantineLeft( decide::Fingerprint fingerprint, MonoTime now ) const {
         return m_quarantines.left( fingerprint, now );
     }
-    //! True when a content was quarantined before: it gets one send a try.
+    //! True if a content was quarantined before: each request with it gets only one send.
     bool onTrial( decide::Fingerprint fingerprint ) const {
         return m_quarantines.times( fingerprint ) > 0;
     }
 
-    //! A request's connection to an upstream broke; `weight` as decide::weightOf() says.
-    void noteBroken( const NodePtr& node, decide::Fingerprint fingerprint, double weight );
-    //! A request has run to its end.
-    void noteWhole( decide::Fingerprint fingerprint );
-    //! What a sidecar or the store knows to be quarantined.
+    //! Records that a request's connection to an upstream broke; `weight` is from
+    //! decide::weightOf().
+    void noteBrokenRun( const NodePtr& node, decide::Fingerprint fingerprint, double weight );
+    //! Records that a request has run to completion.
+    void noteCompletedRun( decide::Fingerprint fingerprint );
+    //! Adds quarantines; `from` names their source: a sidecar, the store or this gateway.
     void take( std::span<const decide::Quarantine> entries, std::string_view from );
 
 private:
-    //! Finds out whether the upstream of broken runs has ended, and tells of it.
-    net::Task<> settle( NodePtr node );
+    //! Checks whether the upstream of broken runs has ended, and sends the evidence if so.
+    net::Task<> investigateBrokenRuns( NodePtr node );
     net::Task<bool> hasEnded( const Node& node );
-    void tell( const std::string& upstreamId, std::span<const decide::BrokenRun> runs );
-    //! Links to the processes that count a content's ends.
-    std::vector<std::shared_ptr<SidecarLink>> holders( decide::Fingerprint fingerprint,
-                                                       MonoTime now ) const;
+    void sendEvidence( const std::string& upstreamId, std::span<const decide::BrokenRun> runs );
+    //! Links to the sidecars that count the ends of upstreams for a content.
+    std::vector<std::shared_ptr<SidecarLink>> evidenceHolders( decide::Fingerprint fingerprint,
+                                                               MonoTime now ) const;
 
     net::asio::io_context& m_context;
     Fleet& m_fleet;
     metrics::Metrics& m_metrics;
-    decide::PoisonBook m_book; //!< what this gateway saw
+    decide::PoisonBook m_book; //!< evidence of this gateway alone
     decide::QuarantineList m_quarantines;
-    decide::WholeRuns m_whole;
-    std::map<std::string, std::vector<decide::BrokenRun>> m_broken; //!< by upstream, unsettled
+    decide::WholeRuns m_completedRuns;
+    std::map<std::string, std::vector<decide::BrokenRun>>
+        m_broken; //!< by upstream, while it is being checked
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/prefix_cache.cpp
+++ b/src/gateway/prefix_cache.cpp
@@ -33,7 +33,8 @@
 }
 
 void PrefixCache::insert( std::span<const std::uint64_t> keys, const Generation& generation ) {
-    // Last part first, so that a prompt's earlier parts count as used later and outlive it.
+    // Last part first, so that earlier parts are more recently used and are evicted after later
+    // ones.
     for( std::size_t n = keys.size(); n-- > 0; ) {
         touch( keys[n], generation.parts[n].tokens, generation.model );
     }
--- a/src/gateway/prefix_cache.hpp
+++ b/src/gateway/prefix_cache.hpp
@@ -10,12 +10,13 @@
 
 namespace coursehead::gateway {
 
-//! Keys of a prompt's parts: each stands for the model, the adapter and all parts up to it.
+//! Keys of a prompt's parts. Each key identifies the model, the adapter and all parts up to and
+//! including its own.
 std::vector<std::uint64_t> prefixKeys( const Generation& generation );
 
 /**
- * Which prompt prefixes an engine probably keeps, learnt from what was sent to it. The parts
- * unused longest give way first, as in the engine.
+ * The prompt prefixes that an engine probably has cached, derived from the prompts sent to it. The
+ * least recently used parts are evicted first, as in the engine.
  */
 class PrefixCache {
 public:
@@ -23,13 +24,13 @@
     explicit PrefixCache( std::int64_t capacity ) : m_capacity( capacity ) {}
 
     void setCapacity( std::int64_t tokens );
-    //! Tokens of the prompt that need not be read again.
+    //! Tokens of the prompt that the engine has cached and need not read again.
     std::int64_t kept( std::span<const std::uint64_t> keys, const Generation& generation ) const;
-    //! Records that the prompt was read there.
+    //! Records that the engine read the prompt.
     void insert( std::span<const std::uint64_t> keys, const Generation& generation );
-    //! Records that one part was read there, with all before it.
+    //! Records that the engine read one part and all parts before it.
     void insertPart( std::uint64_t key, std::int64_t tokens, const std::string& model );
-    //! Forgets what was kept for a model: it was unloaded.
+    //! Removes all parts of a model, which was unloaded.
     void dropModel( std::string_view model );
     void clear();
 
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -9,14 +9,15 @@
 
 namespace {
 
-//! Holders are told this often what is obtained there: twice within a membership, and some delay.
-constexpr Millis tellEvery{ 400 };
-//! A holder answers within some milliseconds; one that does not is busy or gone.
-constexpr Millis askLimit{ 150 };
-//! Pause until it is looked again whether somebody can be asked.
-constexpr Millis lookAgain{ 25 };
-//! Refused clients come back no sooner: a connection and a request take some milliseconds.
-constexpr Millis leastRetryAfter{ 50 };
+//! Interval of updates to holders: two updates and some delay fit into the time for which a holder
+//! counts this gateway.
+constexpr Millis updateInterval{ 400 };
+//! A holder answers within a few milliseconds; one that does not is overloaded or gone.
+constexpr Millis queryTimeout{ 150 };
+//! Interval at which it is checked again whether a holder can be asked.
+constexpr Millis retryInterval{ 25 };
+//! Shortest Retry-After of a refusal: a connection and a request take some milliseconds.
+constexpr Millis minRetryAfter{ 50 };
 
 } // namespace
 
@@ -39,47 +40,47 @@
     }
     m_anyLimit = !rates.empty();
     m_book.setRates( configuration.version, rates );
-    m_toldAt = MonoTime{};
+    m_updatesSentAt = MonoTime{};
 }
 
 void QuotaClient::tick( MonoTime now ) {
     if( !m_anyLimit ) {
         return;
     }
-    lookAtLinks( now );
+    refreshHolders( now );
     for( const auto& it : m_book.takeUnused( now ) ) {
         const auto link = m_links.find( it.holder );
         if( link ) {
             link->send( Message( it.back ) );
         }
     }
-    if( now - m_toldAt >= tellEvery ) {
-        tellHolders( now );
+    if( now - m_updatesSentAt >= updateInterval ) {
+        sendUpdates( now );
     }
 }
 
-void QuotaClient::lookAtLinks( MonoTime now ) {
-    m_links.look( now );
+void QuotaClient::refreshHolders( MonoTime now ) {
+    m_links.refresh( now );
     if( m_book.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "quota_holders_changed",
                    { { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
-        tellHolders( now );
+        sendUpdates( now );
     }
 }
 
-void QuotaClient::tellHolders( MonoTime now ) {
-    m_toldAt = now;
+void QuotaClient::sendUpdates( MonoTime now ) {
+    m_updatesSentAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
         auto news = m_book.newsFor( ip );
-        const bool concerns = !news.rates.empty() || m_told.contains( ip );
+        const bool concerns = !news.rates.empty() || m_updatedHolders.contains( ip );
         if( !concerns || !link->mayAnswer( now ) ) {
             continue;
         }
         if( news.rates.empty() ) {
-            m_told.erase( ip );
+            m_updatedHolders.erase( ip );
         } else {
-            m_told.insert( ip );
+            m_updatedHolders.insert( ip );
         }
         news.gateway = m_vm;
         link->send( Message( std::move( news ) ) );
@@ -87,8 +88,8 @@
     }
 }
 
-net::Task<std::optional<QuotaDecision>> QuotaClient::ask( std::string organisation, double units,
-                                                          MonoTime until ) {
+net::Task<std::optional<QuotaDecision>> QuotaClient::queryHolder( std::string organisation,
+                                                                  double units, MonoTime until ) {
     const auto asked = MonoClock::now();
     const auto holder = m_links.find( m_book.holderOf( organisation, asked ) );
     if( !holder ) {
@@ -99,12 +100,12 @@
     question.needed = units;
     question.wished = m_book.wishFor( organisation, units, asked );
     question.patienceMs = remaining( asked, until ).count();
-    const auto answer = co_await holder->askQuota( std::move( question ), askLimit );
+    const auto answer = co_await holder->askQuota( std::move( question ), queryTimeout );
     if( !answer || !answer->known ) {
         co_return std::nullopt;
     }
     if( answer->granted < units ) {
-        const auto after = std::max( Millis( answer->waitMs ), leastRetryAfter );
+        const auto after = std::max( Millis( answer->waitMs ), minRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
     m_book.keep( organisation, answer->granted - units, asked );
@@ -115,15 +116,15 @@
 }
 
 net::Task<QuotaDecision> QuotaClient::obtain( std::string organisation, double units,
-                                              Millis patience ) {
+                                              Millis timeout ) {
     auto now = MonoClock::now();
-    const auto until = now + patience;
+    const auto until = now + timeout;
     if( m_book.spend( organisation, units, now ) ) {
         co_return QuotaDecision{};
     }
     for( ;; ) {
         std::string name = organisation;
-        const auto decision = co_await ask( std::move( name ), units, until );
+        const auto decision = co_await queryHolder( std::move( name ), units, until );
         if( decision ) {
             co_return *decision;
         }
@@ -131,10 +132,10 @@
         if( m_book.spendReserve( organisation, units, now ) ) {
             co_return QuotaDecision{};
         }
-        if( now + lookAgain >= until ) {
+        if( now + retryInterval >= until ) {
             co_return QuotaDecision{ QuotaVerdict::unknown, decide::QuotaBook::reserveWait() };
         }
-        co_await net::pause( m_context, lookAgain );
+        co_await net::pause( m_context, retryInterval );
     }
 }
 
--- a/src/gateway/quota_client.hpp
+++ b/src/gateway/quota_client.hpp
@@ -15,16 +15,16 @@
 //! Whether a request is within its organisation's limit.
 enum class QuotaVerdict {
     granted,
-    over,    //!< beyond the limit
-    unknown, //!< nobody could be asked, and what may be spent without asking is used up
+    over,    //!< the limit is exceeded
+    unknown, //!< no holder could be asked, and the reserve is used up
 };
 struct QuotaDecision {
     QuotaVerdict verdict = QuotaVerdict::granted;
     Millis retryAfter{ 0 };
 };
 
-//! Obtains what requests take from their organisations' quotas: the quota book with links to those
-//! that hold them.
+//! Obtains the units that requests use of their organisations' quotas: combines the local quota
+//! accounts with links to the sidecars that hold the quotas.
 class QuotaClient {
 public:
     QuotaClient( net::asio::io_context& context, Fleet& fleet, std::string vm,
@@ -32,27 +32,27 @@
 
     void setBounds( const platform::Bounds& bounds );
     void setConfiguration( const Configuration& configuration );
-    //! Regular work: who can be asked, and what they are told.
+    //! Periodic work: determines the holders of the quotas and sends them updates.
     void tick( MonoTime now );
 
-    //! Takes `units` of an organisation's limit; waits up to `patience` for them.
-    net::Task<QuotaDecision> obtain( std::string organisation, double units, Millis patience );
-    //! A request that took units has not run.
+    //! Obtains `units` of an organisation's quota; waits up to `timeout` for them.
+    net::Task<QuotaDecision> obtain( std::string organisation, double units, Millis timeout );
+    //! Returns the units of a request that has not run.
     void giveBack( const std::string& organisation, double units );
 
 private:
-    //! What a question to a holder came to; nullopt: nobody could be asked.
-    net::Task<std::optional<QuotaDecision>> ask( std::string organisation, double units,
-                                                 MonoTime until );
-    void lookAtLinks( MonoTime now );
-    void tellHolders( MonoTime now );
+    //! Asks the quota's holder for units; nullopt if it could not be asked.
+    net::Task<std::optional<QuotaDecision>> queryHolder( std::string organisation, double units,
+                                                         MonoTime until );
+    void refreshHolders( MonoTime now );
+    void sendUpdates( MonoTime now );
 
     net::asio::io_context& m_context;
     std::string m_vm;
     decide::QuotaBook m_book;
     HolderLinks m_links;
-    std::set<std::string> m_told; //!< addresses that count this gateway
-    MonoTime m_toldAt;
+    std::set<std::string> m_updatedHolders; //!< addresses of the holders that count this gateway
+    MonoTime m_updatesSentAt;
     bool m_anyLimit = false;
 };
 
--- a/src/gateway/reading_budget.hpp
+++ b/src/gateway/reading_budget.hpp
@@ -7,37 +7,38 @@
 namespace coursehead::gateway {
 
 /**
- * How much prompt reading this gateway may ask of an engine. An engine reads prompts in pieces
- * between the steps of running streams; where it reads without a gap for about the streams' gap
- * target, every stream there pauses too long: 887 of 3,190 streams did in 30 s of a loaded day,
- * half of them by less than 90 ms (gateways' logs). The budget lets a burst through and then a
- * share of the engine's time, so that steps without reading come in between; a loaded day
- * lost 5 in 100 less of its worth, a calm one 20 in 100 (means of three and four plays).
+ * Limits the prompt reading that this gateway requests from an engine. An engine reads prompts in
+ * pieces between the steps of running streams. If it reads without interruption for about the
+ * streams' gap target, every stream there pauses too long: under load this affects more than a
+ * quarter of all streams, half of them by less than 90 ms. The budget admits a burst and after that
+ * a share of the engine's time, so that steps without reading come in between. The value lost to
+ * late events falls under light load too.
  */
 class ReadingBudget {
 public:
     struct Limits {
-        double burstMs = 0; //!< reading that may come at once
-        double share = 1;   //!< of the engine's time afterwards
+        double burstMs = 0; //!< reading that may be requested at once
+        double share = 1;   //!< share of the engine's time after the burst
     };
 
-    //! Until a prompt of `workMs` fits; zero when it does.
+    //! Time until a prompt that takes `workMs` to read fits the budget; zero if it fits now.
     Millis wait( double workMs, const Limits& limits, MonoTime now ) const;
-    //! Counts a prompt that is sent.
+    //! Charges a prompt that is sent to the budget.
     void take( double workMs, const Limits& limits, MonoTime now );
-    //! Part of the engine's time that this gateway's prompts took lately.
+    //! Recent share of the engine's time that was spent on this gateway's prompts.
     double ownShare( MonoTime now ) const;
 
 private:
     double usedAt( const Limits& limits, MonoTime now ) const;
 
-    double m_usedMs = 0; //!< of the burst
+    double m_usedMs = 0; //!< used part of the burst, at m_at
     MonoTime m_at;
     double m_share = 0;
     MonoTime m_shareAt;
 };
 
-//! The limits for an engine whose streams have a gap target, and of whose time others take a part.
+//! The limits for an engine whose streams have this gap target, if other gateways use `othersShare`
+//! of its time.
 ReadingBudget::Limits readingLimits( Millis gapTarget, double othersShare );
 
 } // namespace coursehead::gateway
--- a/src/gateway/reading_leave.hpp
+++ b/src/gateway/reading_leave.hpp
@@ -8,15 +8,15 @@
 
 namespace coursehead::gateway {
 
-//! A sidecar's leave to send one prompt to its engine. Unless it is used the sidecar hears that the
-//! prompt does not come: the engine's time would be kept for it otherwise.
+//! A sidecar's permit to send one prompt to its engine. If it is not used, the destructor returns
+//! it to the sidecar, which would otherwise reserve the engine's time for the prompt.
 class ReadingLeave {
 public:
     ReadingLeave( NodePtr node, EnsureAnswer answer )
         : m_node( std::move( node ) ), m_answer( answer ) {}
     ~ReadingLeave() {
         if( m_node ) {
-            Fleet::handBack( *m_node, m_answer );
+            Fleet::returnPermit( *m_node, m_answer );
         }
     }
     ReadingLeave( const ReadingLeave& ) = delete;
@@ -25,7 +25,7 @@
     void use() { m_node.reset(); }
 
 private:
-    NodePtr m_node; //!< null once the leave is used
+    NodePtr m_node; //!< null once the permit is used
     EnsureAnswer m_answer;
 };
 
--- a/src/gateway/retry_window.cpp
+++ b/src/gateway/retry_window.cpp
@@ -5,16 +5,17 @@
 
 namespace {
 
-//! Part of the budget that is used: sends are counted where they arrive, a little later than here.
+//! Part of the budget that is used. Sends are counted on arrival at the upstream, a little later
+//! than here, so the full budget could be exceeded in the window counted there.
 constexpr double usedPart = 0.85;
-//! First sends that are remembered at the most.
-constexpr std::size_t maxFirsts = 200000;
+//! Limit on the memory for first sends.
+constexpr std::size_t maxFirstSends = 200000;
 
 } // namespace
 
 void RetryWindow::forget( Millis window, MonoTime now ) {
-    while( !m_firsts.empty() && now - m_firsts.front() > window ) {
-        m_firsts.pop_front();
+    while( !m_firstSends.empty() && now - m_firstSends.front() > window ) {
+        m_firstSends.pop_front();
     }
     while( !m_retries.empty() && now - m_retries.front() > window ) {
         m_retries.pop_front();
@@ -22,9 +23,9 @@
 }
 
 void RetryWindow::countFirst( MonoTime now ) {
-    m_firsts.push_back( now );
-    if( m_firsts.size() > maxFirsts ) {
-        m_firsts.pop_front();
+    m_firstSends.push_back( now );
+    if( m_firstSends.size() > maxFirstSends ) {
+        m_firstSends.pop_front();
     }
 }
 
@@ -32,7 +33,7 @@
     forget( share.window, now );
     const double slack = share.slack / static_cast<double>( share.gateways );
     const double allowed =
-        usedPart * ( share.ratio * static_cast<double>( m_firsts.size() ) + slack );
+        usedPart * ( share.ratio * static_cast<double>( m_firstSends.size() ) + slack );
     if( static_cast<double>( m_retries.size() ) + 1.0 > allowed ) {
         return false;
     }
--- a/src/gateway/retry_window.hpp
+++ b/src/gateway/retry_window.hpp
@@ -8,25 +8,25 @@
 
 namespace coursehead::gateway {
 
-//! This process's share of a retry budget that all gateways spend from.
+//! The parameters of this gateway's share of the retry budget that all gateways share.
 struct RetryShare {
     double ratio = 0.2;     //!< retries per first send
-    double slack = 50;      //!< retries per window on top, of all gateways
-    Millis window{ 10000 }; //!< sliding
-    int gateways = 1;       //!< that spend from the budget
+    double slack = 50;      //!< additional retries per window, for all gateways together
+    Millis window{ 10000 }; //!< length of the sliding window
+    int gateways = 1;       //!< number of gateways that share the budget
 };
 
 //! First sends and retries of one service within a sliding window.
 class RetryWindow {
 public:
     void countFirst( MonoTime now );
-    //! Takes one retry; false when the share is used up.
+    //! Counts one retry against the share; false if the share is used up.
     bool take( const RetryShare& share, MonoTime now );
 
 private:
     void forget( Millis window, MonoTime now );
 
-    std::deque<MonoTime> m_firsts;
+    std::deque<MonoTime> m_firstSends;
     std::deque<MonoTime> m_retries;
 };
 
--- a/src/gateway/selection.cpp
+++ b/src/gateway/selection.cpp
@@ -7,27 +7,28 @@
 
 namespace {
 
-//! One recent failure counts like this much waiting: about a retry at another upstream.
-constexpr double failureMs = 150;
-//! What a stream that is sure to pause too long counts for: it is then worth as little as one whose
-//! first event comes after its goal, about a second.
-constexpr double latePauseMs = 800;
+//! Cost of one recent failure: about the time that a retry at another upstream takes.
+constexpr double failurePenaltyMs = 150;
+//! Cost of a stream that is certain to pause too long: it loses as much value as a stream whose
+//! first event is late, and a goal is about a second.
+constexpr double latePausePenaltyMs = 800;
 
 } // namespace
 
 namespace {
 
-//! Prompt reading that delays running streams noticeably: an event of several tokens takes as many
-//! steps, each lengthened by a piece of a prompt.
-constexpr double calmReadingMs = 150;
-//! Waiting that a stream counts for, for each millisecond of reading beyond.
-constexpr double decodingWeight = 0.25;
-constexpr std::uint32_t mostDecoding = 6;
+//! Prompt reading up to this long does not delay running streams noticeably. Beyond it, each event
+//! of several tokens takes as many engine steps, each lengthened by a piece of a prompt.
+constexpr double unnoticedReadingMs = 150;
+//! Cost in milliseconds for each running stream and each millisecond of reading beyond that.
+constexpr double excessWeightPerStream = 0.25;
+constexpr std::uint32_t maxCountedStreams = 6;
 
+//! Cost of the delay that reading the prompt causes to the running streams.
 double interference( const Candidate& candidate ) {
-    const double over = candidate.backlogMs + candidate.workMs - calmReadingMs;
-    const auto streams = static_cast<double>( std::min( candidate.decoding, mostDecoding ) );
-    return over > 0 ? over * streams * decodingWeight : 0;
+    const double excessMs = candidate.backlogMs + candidate.workMs - unnoticedReadingMs;
+    const auto streams = static_cast<double>( std::min( candidate.decoding, maxCountedStreams ) );
+    return excessMs > 0 ? excessMs * streams * excessWeightPerStream : 0;
 }
 
 } // namespace
@@ -35,7 +36,7 @@
 void assumeUnseen( std::span<Candidate> candidates ) {
     double backlogMs = 0;
     int seen = 0;
-    Candidate* home = nullptr;
+    Candidate* preferred = nullptr;
     for( auto& it : candidates ) {
         if( !it.holds || it.avoided ) {
             continue;
@@ -44,26 +45,26 @@
             backlogMs += it.backlogMs;
             ++seen;
         }
-        if( home == nullptr || it.affinity > home->affinity ) {
-            home = &it;
+        if( preferred == nullptr || it.affinity > preferred->affinity ) {
+            preferred = &it;
         }
     }
-    if( home != nullptr && !home->seen ) {
-        home->workMs = std::min( home->workMs, home->homeWorkMs );
-        home->freshTokens = std::min( home->freshTokens, home->homeTokens );
+    if( preferred != nullptr && !preferred->seen ) {
+        preferred->workMs = std::min( preferred->workMs, preferred->homeWorkMs );
+        preferred->freshTokens = std::min( preferred->freshTokens, preferred->homeTokens );
     }
-    const double usual = seen > 0 ? backlogMs / seen : 0;
+    const double meanBacklogMs = seen > 0 ? backlogMs / seen : 0;
     for( auto& it : candidates ) {
         if( !it.seen ) {
-            it.backlogMs = std::max( it.backlogMs, usual );
+            it.backlogMs = std::max( it.backlogMs, meanBacklogMs );
         }
     }
 }
 
 double costOf( const Candidate& candidate ) {
-    return interference( candidate ) + candidate.latePauses * latePauseMs +
+    return interference( candidate ) + candidate.latePauses * latePausePenaltyMs +
            ( candidate.backlogMs + candidate.workMs ) * candidate.slowness + candidate.loadMs +
-           candidate.paceMs + candidate.leavingMs + candidate.failures * failureMs +
+           candidate.paceMs + candidate.leavingMs + candidate.failures * failurePenaltyMs +
            ( candidate.otherHall ? candidate.crossHallMs : 0 ) +
            ( candidate.otherRegion ? candidate.crossRegionMs : 0 );
 }
@@ -76,13 +77,13 @@
         const double cost = costOf( it );
         bool better = !best;
         if( best ) {
-            const auto& other = candidates[*best];
-            if( it.avoided != other.avoided ) {
-                better = other.avoided;
-            } else if( cost < bestCost - equalMs ) {
+            const auto& bestSoFar = candidates[*best];
+            if( it.avoided != bestSoFar.avoided ) {
+                better = bestSoFar.avoided;
+            } else if( cost < bestCost - equalCostMs ) {
                 better = true;
-            } else if( cost <= bestCost + equalMs ) {
-                better = it.affinity > other.affinity;
+            } else if( cost <= bestCost + equalCostMs ) {
+                better = it.affinity > bestSoFar.affinity;
             }
         }
         if( better ) {
--- a/src/gateway/selection.hpp
+++ b/src/gateway/selection.hpp
@@ -9,43 +9,46 @@
 
 namespace coursehead::gateway {
 
-//! Costs that differ by less are equal: estimates are no finer, and equal choices by all gateways
-//! keep prefixes and adapters together.
-inline constexpr double equalMs = 12;
+//! Costs that differ by less count as equal: estimates are no more precise than this, and when all
+//! gateways break the tie the same way, equal prefixes and adapters stay on the same upstream.
+inline constexpr double equalCostMs = 12;
 
-//! An upstream that a request could go to; times in milliseconds.
+//! An upstream that may be chosen for a request, with the terms of its cost. Times are in
+//! milliseconds.
 struct Candidate {
-    bool avoided = false;         //!< unreachable lately, or full: only when nothing else is left
-    double backlogMs = 0;         //!< work queued ahead of the request
-    std::int64_t freshTokens = 0; //!< of the prompt, to be read
-    double workMs = 0;            //!< reading what is not cached of the prompt, or the usual work
-    double loadMs = 0;            //!< until model and adapter are there
-    double paceMs = 0;          //!< until it should be sent: for the streams there, or a slow start
-    double slowness = 1;        //!< factor on backlog and work
-    double failures = 0;        //!< recent ones
-    std::uint32_t decoding = 0; //!< requests whose events pause while prompts are read there
-    double latePauses = 0;      //!< part of the recent streams there that paused too long
+    bool avoided = false; //!< recently unreachable: chosen only if all others are avoided too
+    double backlogMs = 0; //!< work queued ahead of the request
+    std::int64_t freshTokens = 0; //!< prompt tokens that the engine has not cached
+    double workMs = 0;            //!< reading the uncached prompt tokens; typical work if plain
+    double loadMs = 0;            //!< until the model and the adapter are loaded
+    double paceMs = 0;            //!< delay before sending, for running streams or a slow start
+    double slowness = 1;          //!< factor on backlogMs and workMs
+    double failures = 0;          //!< recent failures, each decaying with time
+    std::uint32_t decoding = 0;   //!< running streams that pause while the engine reads prompts
+    double latePauses = 0;        //!< share of recent streams with a pause above the gap target
     bool otherHall = false;
-    double crossHallMs = 0; //!< what leaving the hall counts for
+    double crossHallMs = 0; //!< penalty for an upstream in another hall
     bool otherRegion = false;
-    double crossRegionMs = 0;    //!< what leaving the region counts for
-    double leavingMs = 0;        //!< what speaks against a hall that is being emptied
-    bool seen = true;            //!< its load and what it keeps of prompts are known
-    bool holds = true;           //!< the model is there, or none is needed
-    double homeWorkMs = 0;       //!< reading what is not shared with other prompts
-    std::int64_t homeTokens = 0; //!< the same in tokens
-    std::uint64_t affinity = 0;  //!< rendezvous hash: the highest is preferred among equals
+    double crossRegionMs = 0;    //!< penalty for an upstream in another region
+    double leavingMs = 0;        //!< penalty for a hall that is being evacuated
+    bool seen = true;            //!< a fresh report tells its load and cached prefixes
+    bool holds = true;           //!< the model is loaded, or the request needs none
+    double homeWorkMs = 0;       //!< reading the tokens not shared with other prompts
+    std::int64_t homeTokens = 0; //!< tokens not shared with other prompts
+    std::uint64_t affinity = 0;  //!< rendezvous hash; the highest wins among equal costs
 };
 
 /**
- * Fills in what is not known of those that are not seen, which are most of them in a large fleet:
- * they are taken to be as busy as those that are seen, and the preferred one among all that hold
- * the model to keep the prompt's shared parts, since every gateway sends them there.
+ * Estimates the load of candidates without a fresh report, which are most of them in a large fleet.
+ * Their backlog is taken to be the mean backlog of the reported candidates. The candidate with the
+ * highest affinity among those that hold the model is taken to have the prompt's shared parts
+ * cached, because every gateway sends them there.
  */
 void assumeUnseen( std::span<Candidate> candidates );
-//! What sending there would take, with what speaks against it, in milliseconds.
+//! Expected time to serve the request at the candidate plus all penalties, in milliseconds.
 double costOf( const Candidate& candidate );
-//! The candidate of the lowest cost; avoided ones only when all are. Nullopt when there is none.
+//! Index of the candidate with the lowest cost; an avoided one only if all are avoided. Nullopt if
+//! there are no candidates.
 std::optional<std::size_t> choose( std::span<const Candidate> candidates );
 
 } // namespace coursehead::gateway
--- a/src/gateway/store_grants.cpp
+++ b/src/gateway/store_grants.cpp
@@ -5,7 +5,7 @@
 
 namespace coursehead::gateway {
 
-bool StoreGrants::take( const std::string& upstreamId, const std::string& model, int most,
+bool StoreGrants::take( const std::string& upstreamId, const std::string& model, int maxLoads,
                         MonoTime now ) {
     while( !m_loads.empty() && now - m_loads.front().at > m_window ) {
         m_loads.pop_front();
@@ -16,7 +16,7 @@
     if( shared ) {
         return true;
     }
-    if( static_cast<int>( m_loads.size() ) >= most ) {
+    if( static_cast<int>( m_loads.size() ) >= maxLoads ) {
         return false;
     }
     m_loads.push_back( { now, upstreamId, model } );
--- a/src/gateway/store_grants.hpp
+++ b/src/gateway/store_grants.hpp
@@ -9,20 +9,21 @@
 
 namespace coursehead::gateway {
 
-//! A load from the weight store begins this long after it was allowed at the latest, or not at all:
-//! one that waited for its engine began in another window than it was counted in, and twelve loads
-//! began where eleven may.
+//! A granted load from the weight store must start within this time or not at all. Otherwise a load
+//! that waited for its engine starts in a later window than the one it was counted in, and the rate
+//! is exceeded: twelve loads start in a window that permits eleven.
 inline constexpr Millis storeGrantLife{ 1000 };
 
-//! Loads from the weight store that one gateway allowed within a window of time.
+//! Loads from the weight store that this gateway granted within a sliding window.
 class StoreGrants {
 public:
     explicit StoreGrants( Millis window ) : m_window( window ) {}
 
-    //! Allows a load unless `most` are in the window. Requests that wait for the same load share
-    //! it.
-    bool take( const std::string& upstreamId, const std::string& model, int most, MonoTime now );
-    //! A load that was allowed did not begin, and will not.
+    //! Grants a load unless the window holds `maxLoads` already. Requests that wait for the same
+    //! load share its grant.
+    bool take( const std::string& upstreamId, const std::string& model, int maxLoads,
+               MonoTime now );
+    //! Removes the grant of a load that has not started and will not.
     void release( const std::string& upstreamId, const std::string& model );
 
 private:
@@ -33,11 +34,12 @@
     };
 
     Millis m_window;
-    std::deque<Load> m_loads; //!< the last one at the end
+    std::deque<Load> m_loads; //!< in the order of their grants
 };
 
-//! One gateway's part of the loads that the weight store allows in a window: at least one, so that
-//! no model is out of reach. With more gateways than such loads their sum is above the rate.
+//! One gateway's share of the loads that the weight store permits in a window. At least one, so
+//! that every model can be loaded; with more gateways than permitted loads the sum exceeds the
+//! rate.
 int storeShare( double loadsPerS, Millis window, int gateways );
 
 } // namespace coursehead::gateway
