--- a/src/gateway/estimate.cpp
+++ b/src/gateway/estimate.cpp
@@ -31,7 +31,8 @@
 constexpr double crossRegionMs = 240;
 //! The same for plain services: one round trip, and as much again for the bytes.
 constexpr double plainCrossRegionMs = 120;
-//! Penalty for a load, because it evicts another model.
+//! Penalty for a load, because it evicts another model: a load is chosen only if it saves more than
+//! this.
 constexpr double evictionPenaltyMs = 150;
 //! Penalty for a hall that is being evacuated. Requests for models that other halls hold too go
 //! elsewhere at once. Requests for models that only this hall holds still go there until a copy is
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -60,9 +60,9 @@
 SpecTextPtr Fleet::specOf( const Service& service ) {
     auto& known = m_specs[service.name];
     if( known.engine != service.engine ) {
-        const bool same = known.engine && *known.engine == *service.engine;
+        const bool unchanged = known.engine && *known.engine == *service.engine;
         known.engine = service.engine;
-        known.text = same ? known.text : encodeSpec( *service.engine );
+        known.text = unchanged ? known.text : encodeSpec( *service.engine );
     }
     return known.text;
 }
@@ -76,10 +76,11 @@
     }
     const auto gapTarget = m_table ? m_table->gapTarget( node.upstream.service ) : Millis{ 0 };
     const auto spec = engine ? specOf( *service ) : nullptr;
-    const bool same = node.engine && spec && node.toldSpec == spec && node.gapTarget == gapTarget &&
-                      node.sidecar && node.toldBorn == node.upstream.born;
+    const bool unchanged = node.engine && spec && node.toldSpec == spec &&
+                           node.gapTarget == gapTarget && node.sidecar &&
+                           node.toldBorn == node.upstream.born;
     node.engine = engine;
-    if( same ) {
+    if( unchanged ) {
         // Most configuration changes concern only routes, which sidecars do not need.
         return;
     }
@@ -140,19 +141,19 @@
             takeLoad( *node, load );
         }
     };
-    out.quarantines = [this]( const decide::QuarantineNews& news ) {
-        if( m_onQuarantines ) {
-            m_onQuarantines( news );
+    out.quarantines = [this]( const decide::QuarantineNews& update ) {
+        if( m_onQuarantineUpdate ) {
+            m_onQuarantineUpdate( update );
         }
     };
-    out.limits = [this]( const decide::LimitNews& news ) {
-        if( m_onLimits ) {
-            m_onLimits( news );
+    out.limits = [this]( const decide::LimitNews& update ) {
+        if( m_onLimitUpdate ) {
+            m_onLimitUpdate( update );
         }
     };
-    out.news = [this, id]( const StoreNews& news ) {
-        if( m_onStoreNews ) {
-            m_onStoreNews( id, news );
+    out.news = [this, id]( const StoreNews& update ) {
+        if( m_onStoreUpdate ) {
+            m_onStoreUpdate( id, update );
         }
     };
     return out;
@@ -218,9 +219,9 @@
     return out;
 }
 
-void Fleet::returnPermit( const Node& node, const EnsureAnswer& leave ) {
+void Fleet::returnPermit( const Node& node, const EnsureAnswer& permit ) {
     if( node.sidecar ) {
-        node.sidecar->cancel( leave.number );
+        node.sidecar->cancel( permit.number );
     }
 }
 
@@ -233,16 +234,18 @@
     request.upstreamId = node->upstream.id;
     request.coldMs = node->cold.left( now ).count();
     request.coldPerS = node->coldPerS;
-    const bool near =
+    const bool weightsAvailable =
         node->holdsModel( request.model, now ) || hasLocalWeights( *node, request.model );
-    request.fromStore = !near && node->engine && mayUseStore( *node, request.model, now );
-    const bool loads = !node->holdsModel( request.model, now ) && ( near || request.fromStore );
+    request.fromStore =
+        !weightsAvailable && node->engine && mayUseStore( *node, request.model, now );
+    const bool needsLoad =
+        !node->holdsModel( request.model, now ) && ( weightsAvailable || request.fromStore );
     const std::string name = request.model;
     const bool granted = request.fromStore;
     const bool held = node->holdsModel( name, now );
-    const bool first = loads && node->loading.emplace( name, now ).second;
+    const bool recordsLoad = needsLoad && node->loading.emplace( name, now ).second;
     const auto answer = co_await link->ensure( std::move( request ) );
-    if( first ) {
+    if( recordsLoad ) {
         node->loading.erase( name );
     }
     if( granted && answer.outcome == EnsureOutcome::needStore ) {
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -86,7 +86,7 @@
     //! the answer `ready` grants is either used by a send or returned with returnPermit().
     net::Task<EnsureAnswer> ensure( NodePtr node, EnsureRequest request );
     //! Returns an unused permit to send a prompt.
-    static void returnPermit( const Node& node, const EnsureAnswer& leave );
+    static void returnPermit( const Node& node, const EnsureAnswer& permit );
     //! Describes a request's prompt for the query to a sidecar.
     AskedPrompt askedPrompt( const Need& need ) const;
     //! Starts loading a model at a node on behalf of no particular request.
@@ -97,15 +97,17 @@
     void countDemand( const Need& need, const Choice& choice );
 
     //! Called with each store update that an upstream's sidecar relays.
-    using StoreNewsHandler =
-        std::function<void( const std::string& upstreamId, const StoreNews& news )>;
-    void onStoreNews( StoreNewsHandler handler ) { m_onStoreNews = std::move( handler ); }
+    using StoreUpdateHandler =
+        std::function<void( const std::string& upstreamId, const StoreNews& update )>;
+    void onStoreNews( StoreUpdateHandler handler ) { m_onStoreUpdate = std::move( handler ); }
     //! Called with the quarantines that a sidecar sends.
-    using QuarantineHandler = std::function<void( const decide::QuarantineNews& news )>;
-    void onQuarantineUpdate( QuarantineHandler handler ) { m_onQuarantines = std::move( handler ); }
+    using QuarantineUpdateHandler = std::function<void( const decide::QuarantineNews& update )>;
+    void onQuarantineUpdate( QuarantineUpdateHandler handler ) {
+        m_onQuarantineUpdate = std::move( handler );
+    }
     //! Called with the upstream limits that a sidecar sends.
-    using LimitHandler = std::function<void( const decide::LimitNews& news )>;
-    void onLimits( LimitHandler handler ) { m_onLimits = std::move( handler ); }
+    using LimitUpdateHandler = std::function<void( const decide::LimitNews& update )>;
+    void onLimits( LimitUpdateHandler handler ) { m_onLimitUpdate = std::move( handler ); }
     const std::map<std::string, NodePtr>& nodes() const noexcept { return m_nodes; }
 
     //! Fails every wait for a model, as the process is about to stop.
@@ -135,10 +137,10 @@
     bool mayServe( const Node& node, const Need& need, MonoTime now ) const;
     static Unavailability unavailabilityOf( const Node& node, MonoTime now );
     //! `justOrdered`: the order was given now; else it may have been given earlier.
-    void beginEvacuation( const std::string& hall, bool justOrdered, MonoTime now );
+    void startEvacuation( const std::string& hall, bool justOrdered, MonoTime now );
     void endEvacuation( const std::string& hall, MonoTime now );
     //! Loads copies in other halls of the models that only `hall` holds.
-    void copyFrom( const std::string& hall, MonoTime now );
+    void addCopiesOutside( const std::string& hall, MonoTime now );
     void addReplicas( const std::map<std::string, int>& held, MonoTime now );
     void addReplica( const std::string& service, const std::string& model, double load,
                      MonoTime now );
@@ -183,9 +185,9 @@
     decide::Evacuations m_evacuations;
     ModelPace m_pace;
     StoreGrants m_grants; //!< the rate counts when loads start: window plus lifetime
-    StoreNewsHandler m_onStoreNews;
-    QuarantineHandler m_onQuarantines;
-    LimitHandler m_onLimits;
+    StoreUpdateHandler m_onStoreUpdate;
+    QuarantineUpdateHandler m_onQuarantineUpdate;
+    LimitUpdateHandler m_onLimitUpdate;
     MonoTime m_started;
     MonoTime m_lastTick;
     decide::GatewayCount m_gateways;
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -23,8 +23,8 @@
     if( node.upstream.service != need.service || !node.takesRequests( now ) ) {
         return false;
     }
-    const bool anywhere = need.homes.route.empty() && need.homes.organisation.empty();
-    return anywhere || decide::mayServe( need.homes, regionOf( node ) );
+    const bool unrestricted = need.homes.route.empty() && need.homes.organisation.empty();
+    return unrestricted || decide::mayServe( need.homes, regionOf( node ) );
 }
 
 Fleet::Unavailability Fleet::unavailabilityOf( const Node& node, MonoTime now ) {
@@ -43,9 +43,9 @@
     std::vector<NodePtr> loadCandidates;
     // Time until the first node that holds the model takes requests again, including nodes that
     // have already refused this request.
-    std::optional<Millis> soonest;
-    std::optional<Millis> soonestBackoff;
-    const auto consider = [&]( const NodePtr& node ) {
+    std::optional<Millis> shortestWait;
+    std::optional<Millis> shortestBackoff;
+    const auto addCandidate = [&]( const NodePtr& node ) {
         candidates.push_back( estimate( *node, need, m_pace, distanceTo( *node ), now ) );
         nodes.push_back( node );
     };
@@ -58,11 +58,11 @@
         const auto wait = unavailabilityOf( *node, now );
         if( wait.timeLeft.count() > 0 || wait.atLimit ) {
             if( holds ) {
-                soonest = std::min( soonest.value_or( wait.timeLeft ), wait.timeLeft );
+                shortestWait = std::min( shortestWait.value_or( wait.timeLeft ), wait.timeLeft );
             }
             if( holds && !wait.atLimit ) {
-                soonestBackoff =
-                    std::min( soonestBackoff.value_or( wait.timeLeft ), wait.timeLeft );
+                shortestBackoff =
+                    std::min( shortestBackoff.value_or( wait.timeLeft ), wait.timeLeft );
             }
             continue;
         }
@@ -70,7 +70,7 @@
             continue;
         }
         if( holds || node->loading.contains( need.generation->model ) ) {
-            consider( node );
+            addCandidate( node );
         } else {
             loadCandidates.push_back( node );
         }
@@ -79,25 +79,25 @@
     auto best = gateway::choose( candidates );
     // A load costs more than most waits. The many nodes that do not hold the model are considered
     // only if no node that holds it is cheaper than any load.
-    const bool good =
+    const bool goodEnough =
         best && !candidates[*best].avoided && need.generation != nullptr &&
         cheaperThanAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
-    if( !good && !loadCandidates.empty() ) {
-        std::for_each( loadCandidates.begin(), loadCandidates.end(), consider );
+    if( !goodEnough && !loadCandidates.empty() ) {
+        std::for_each( loadCandidates.begin(), loadCandidates.end(), addCandidate );
         assumeUnseen( candidates );
         best = gateway::choose( candidates );
     }
     // If a load elsewhere takes longer than a back-off, waiting is better: the load would only
     // evict another model. A limit may last, so requests beyond it are served elsewhere, after a
     // load if necessary.
-    const bool backoffIsNearer =
-        soonestBackoff && best &&
-        candidates[*best].loadMs > static_cast<double>( soonestBackoff->count() );
+    const bool backoffIsShorter =
+        shortestBackoff && best &&
+        candidates[*best].loadMs > static_cast<double>( shortestBackoff->count() );
     Choice out;
     out.candidates = candidates.size();
-    if( !best || backoffIsNearer ) {
-        out.rest = ( backoffIsNearer ? soonestBackoff : soonest ).value_or( Millis{ 0 } );
-        out.atLimit = soonest && soonest != soonestBackoff && !backoffIsNearer;
+    if( !best || backoffIsShorter ) {
+        out.rest = ( backoffIsShorter ? shortestBackoff : shortestWait ).value_or( Millis{ 0 } );
+        out.atLimit = shortestWait && shortestWait != shortestBackoff && !backoffIsShorter;
         return out;
     }
     const auto& it = candidates[*best];
--- a/src/gateway/fleet_copies.cpp
+++ b/src/gateway/fleet_copies.cpp
@@ -25,19 +25,19 @@
         endEvacuation( it, now );
     }
     for( const auto& it : halls ) {
-        beginEvacuation( it, false, now );
+        startEvacuation( it, false, now );
     }
 }
 
 void Fleet::setEvacuation( const std::string& hall, bool emptied, MonoTime now ) {
     if( emptied ) {
-        beginEvacuation( hall, true, now );
+        startEvacuation( hall, true, now );
     } else {
         endEvacuation( hall, now );
     }
 }
 
-void Fleet::beginEvacuation( const std::string& hall, bool justOrdered, MonoTime now ) {
+void Fleet::startEvacuation( const std::string& hall, bool justOrdered, MonoTime now ) {
     if( !m_evacuations.begin( hall, justOrdered, m_settings.evacuation, now ) ) {
         return;
     }
@@ -54,7 +54,7 @@
                  { "known", m_settings.regions.contains( hall ) ? "yes" : "no" },
                  { "upstreams", upstreams },
                  { "stop_in_ms", millisBetween( now, *stop ) } } );
-    copyFrom( hall, now );
+    addCopiesOutside( hall, now );
 }
 
 void Fleet::endEvacuation( const std::string& hall, MonoTime now ) {
@@ -70,26 +70,26 @@
     }
 }
 
-void Fleet::copyFrom( const std::string& hall, MonoTime now ) {
+void Fleet::addCopiesOutside( const std::string& hall, MonoTime now ) {
     std::set<std::string> inside;
     std::set<std::string> elsewhere;
     for( const auto& it : m_nodes ) {
-        const bool leaves = it.second->stopAt.has_value();
+        const bool evacuated = it.second->stopAt.has_value();
         for( const auto& resident : it.second->residents( now ) ) {
-            ( leaves ? inside : elsewhere ).insert( resident.model );
+            ( evacuated ? inside : elsewhere ).insert( resident.model );
         }
     }
     // Models with the highest demand first, as the weight store's rate does not allow all loads to
     // start at once.
     std::vector<std::pair<double, std::string>> wanted;
     for( const auto& [model, demand] : m_demand ) {
-        const bool lost = inside.contains( model ) && !elsewhere.contains( model );
-        if( lost && demand.perS > 0 ) {
+        const bool heldOnlyInside = inside.contains( model ) && !elsewhere.contains( model );
+        if( heldOnlyInside && demand.perS > 0 ) {
             wanted.emplace_back( -demand.perS, model );
         }
     }
     std::sort( wanted.begin(), wanted.end() );
-    for( const auto& [order, model] : wanted ) {
+    for( const auto& [negatedDemand, model] : wanted ) {
         const auto& demand = m_demand.at( model );
         addReplica( demand.service, model, decide::copyLoad( demand.fleet ), now );
     }
@@ -118,9 +118,10 @@
     std::vector<Candidate> candidates;
     std::vector<NodePtr> nodes;
     for( const auto& [id, node] : m_nodes ) {
-        const bool fit = node->upstream.service == service && node->engine &&
-                         node->takesRequests() && !node->stopAt && !node->holdsModel( model, now );
-        if( fit ) {
+        const bool eligible = node->upstream.service == service && node->engine &&
+                              node->takesRequests() && !node->stopAt &&
+                              !node->holdsModel( model, now );
+        if( eligible ) {
             auto it = estimate( *node, need, m_pace, distanceTo( *node ), now );
             it.affinity = hash64( id, model );
             candidates.push_back( it );
--- a/src/gateway/health.cpp
+++ b/src/gateway/health.cpp
@@ -42,8 +42,8 @@
 }
 
 double slownessNow( const Health& health, MonoTime now ) {
-    const double part = std::exp2( -secondsBetween( health.slownessAt, now ) / slownessHalfLifeS );
-    return 1.0 + ( health.slowness - 1.0 ) * part;
+    const double decay = std::exp2( -secondsBetween( health.slownessAt, now ) / slownessHalfLifeS );
+    return 1.0 + ( health.slowness - 1.0 ) * decay;
 }
 
 void noteSuccess( Health& health, double measuredMs, double expectedMs, MonoTime now ) {
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -64,16 +64,16 @@
         if( !link->mayAnswer( now ) ) {
             continue;
         }
-        auto news = m_book.takeNews( address, now );
-        if( news ) {
-            news->gateway = m_vm;
-            link->send( Message( std::move( *news ) ) );
+        auto update = m_book.takeNews( address, now );
+        if( update ) {
+            update->gateway = m_vm;
+            link->send( Message( std::move( *update ) ) );
         }
     }
 }
 
-void LimitClient::take( const decide::LimitNews& news, MonoTime now ) {
-    for( const auto& word : news.words ) {
+void LimitClient::take( const decide::LimitNews& update, MonoTime now ) {
+    for( const auto& word : update.words ) {
         const auto id = word.start.substr( 0, word.start.rfind( startSeparator ) );
         const auto it = m_fleet.nodes().find( id );
         const bool known = it != m_fleet.nodes().end() && startIdOf( *it->second ) == word.start;
@@ -87,21 +87,21 @@
 }
 
 net::Task<decide::LimitDecision> LimitClient::obtain( NodePtr node ) {
-    const auto asked = MonoClock::now();
+    const auto askedAt = MonoClock::now();
     const auto start = startIdOf( *node );
     if( !m_book.knows( start ) ) {
-        refreshHolders( asked );
-        sendUpdates( asked );
+        refreshHolders( askedAt );
+        sendUpdates( askedAt );
     }
-    const auto link = m_links.find( m_book.holderOf( start, asked ) );
+    const auto link = m_links.find( m_book.holderOf( start, askedAt ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
-        decide::LimitAsk question;
-        question.word = decide::wordOf( start, node->limit.known, asked );
-        answer = co_await link->askLimit( std::move( question ), queryTimeout );
+        decide::LimitAsk request;
+        request.word = decide::wordOf( start, node->limit.known, askedAt );
+        answer = co_await link->askLimit( std::move( request ), queryTimeout );
     }
     const auto decision =
-        decide::followLimit( node->limit, answer, m_fleet.gateways(), asked, MonoClock::now() );
+        decide::followLimit( node->limit, answer, m_fleet.gateways(), askedAt, MonoClock::now() );
     m_metrics.count( "limit_asks", decide::nameOf( decision.outcome ) );
     co_return decision;
 }
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -20,7 +20,7 @@
     //! Periodic work: determines the holders of the limits and sends them updates.
     void tick( MonoTime now );
     //! Applies what other gateways and sidecars have learnt of limits.
-    void take( const decide::LimitNews& news, MonoTime now );
+    void take( const decide::LimitNews& update, MonoTime now );
     //! Requests a permit for one request to an upstream with a limit. If the limit is reached, the
     //! node's state records when the upstream may take requests again.
     net::Task<decide::LimitDecision> obtain( NodePtr node );
--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -45,7 +45,7 @@
 //! A service that routes forward requests to.
 struct Service {
     std::string name;
-    int connectionLimit = 0; //!< connections that an upstream accepts from all gateways
+    int connectionLimit = 0; //!< connections that an upstream accepts from all callers together
     Millis coldTime{ 0 };    //!< an upstream is cold for this long after its start
     double coldPerS = 0;     //!< requests a second that a cold upstream can take
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
@@ -68,7 +68,7 @@
     std::string host;
     std::string pathPrefix;
     RequestKind kind = RequestKind::once;
-    Millis timeout{ 0 };   //!< longest time until a request is answered
+    Millis timeout{ 0 };   //!< longest time for which a request may be held
     Millis goal{ 0 };      //!< an answer or first event within this has its full value
     Millis gapTarget{ 0 }; //!< longest pause between events that counts as in time
     int priority = 0;      //!< 0 is the highest
@@ -113,9 +113,10 @@
 //! Only comparable between starts of the same upstream.
 using Born = std::int64_t;
 
-//! True if a message about the start `told` is outdated, because a later start is known already.
-inline bool isFormer( Born told, Born known ) noexcept {
-    return told != 0 && told < known;
+//! True if a message about the start `messageStart` is outdated, because a later start is known
+//! already.
+inline bool isFormer( Born messageStart, Born knownStart ) noexcept {
+    return messageStart != 0 && messageStart < knownStart;
 }
 
 //! An upstream as the platform lists it. It may restart under the same id and then has no state.
--- a/src/gateway/poison_guard.cpp
+++ b/src/gateway/poison_guard.cpp
@@ -34,7 +34,7 @@
 PoisonGuard::PoisonGuard( net::asio::io_context& context, Fleet& fleet, metrics::Metrics& metrics )
     : m_context( context ), m_fleet( fleet ), m_metrics( metrics ) {
     m_fleet.onQuarantineUpdate(
-        [this]( const decide::QuarantineNews& news ) { take( news.entries, "sidecar" ); } );
+        [this]( const decide::QuarantineNews& update ) { take( update.entries, "sidecar" ); } );
 }
 
 void PoisonGuard::noteBrokenRun( const NodePtr& node, decide::Fingerprint fingerprint,
@@ -46,7 +46,7 @@
     if( leaving || known || m_completedRuns.forgive( fingerprint ) ) {
         return;
     }
-    auto [it, first] = m_broken.try_emplace( node->upstream.id );
+    auto [it, first] = m_brokenRuns.try_emplace( node->upstream.id );
     if( it->second.size() < maxBrokenRuns ) {
         it->second.push_back( { fingerprint, weight, m_quarantines.times( fingerprint ) } );
     }
@@ -99,7 +99,7 @@
 
 net::Task<> PoisonGuard::investigateBrokenRuns( NodePtr node ) {
     const bool ended = co_await hasEnded( *node );
-    auto found = m_broken.extract( node->upstream.id );
+    auto found = m_brokenRuns.extract( node->upstream.id );
     auto& runs = found.mapped();
     log::info( ended ? "upstream_ended" : "upstream_lives",
                { { "upstream", node->upstream.id },
@@ -131,19 +131,19 @@
 void PoisonGuard::sendEvidence( const std::string& upstreamId,
                                 std::span<const decide::BrokenRun> runs ) {
     const auto now = MonoClock::now();
-    std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> told;
+    std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> evidenceByHolder;
     std::vector<decide::Quarantine> own;
     for( const auto& it : runs ) {
         if( const auto quarantine = m_book.note( it, upstreamId, now ) ) {
             own.push_back( *quarantine );
         }
         for( const auto& holder : evidenceHolders( it.fingerprint, now ) ) {
-            auto& evidence = told[holder];
+            auto& evidence = evidenceByHolder[holder];
             evidence.upstreamId = upstreamId;
             evidence.runs.push_back( it );
         }
     }
-    for( auto& [holder, evidence] : told ) {
+    for( auto& [holder, evidence] : evidenceByHolder ) {
         holder->send( Message( std::move( evidence ) ) );
     }
     take( own, "own" );
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -57,7 +57,7 @@
     decide::QuarantineList m_quarantines;
     decide::WholeRuns m_completedRuns;
     std::map<std::string, std::vector<decide::BrokenRun>>
-        m_broken; //!< by upstream, while it is being checked
+        m_brokenRuns; //!< by upstream, while it is being checked
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -72,35 +72,35 @@
 void QuotaClient::sendUpdates( MonoTime now ) {
     m_updatesSentAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
-        auto news = m_book.newsFor( ip );
-        const bool concerns = !news.rates.empty() || m_updatedHolders.contains( ip );
-        if( !concerns || !link->mayAnswer( now ) ) {
+        auto update = m_book.newsFor( ip );
+        const bool updateNeeded = !update.rates.empty() || m_updatedHolders.contains( ip );
+        if( !updateNeeded || !link->mayAnswer( now ) ) {
             continue;
         }
-        if( news.rates.empty() ) {
+        if( update.rates.empty() ) {
             m_updatedHolders.erase( ip );
         } else {
             m_updatedHolders.insert( ip );
         }
-        news.gateway = m_vm;
-        link->send( Message( std::move( news ) ) );
+        update.gateway = m_vm;
+        link->send( Message( std::move( update ) ) );
         m_book.noteTold( ip, now );
     }
 }
 
 net::Task<std::optional<QuotaDecision>> QuotaClient::queryHolder( std::string organisation,
                                                                   double units, MonoTime until ) {
-    const auto asked = MonoClock::now();
-    const auto holder = m_links.find( m_book.holderOf( organisation, asked ) );
+    const auto askedAt = MonoClock::now();
+    const auto holder = m_links.find( m_book.holderOf( organisation, askedAt ) );
     if( !holder ) {
         co_return std::nullopt;
     }
-    decide::QuotaAsk question;
-    question.organisation = organisation;
-    question.needed = units;
-    question.wished = m_book.wishFor( organisation, units, asked );
-    question.patienceMs = remaining( asked, until ).count();
-    const auto answer = co_await holder->askQuota( std::move( question ), queryTimeout );
+    decide::QuotaAsk request;
+    request.organisation = organisation;
+    request.needed = units;
+    request.wished = m_book.wishFor( organisation, units, askedAt );
+    request.patienceMs = remaining( askedAt, until ).count();
+    const auto answer = co_await holder->askQuota( std::move( request ), queryTimeout );
     if( !answer || !answer->known ) {
         co_return std::nullopt;
     }
@@ -108,7 +108,7 @@
         const auto after = std::max( Millis( answer->waitMs ), minRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
-    m_book.keep( organisation, answer->granted - units, asked );
+    m_book.keep( organisation, answer->granted - units, askedAt );
     if( answer->waitMs > 0 ) {
         co_await net::pause( m_context, Millis( answer->waitMs ) );
     }
--- a/src/gateway/store_grants.cpp
+++ b/src/gateway/store_grants.cpp
@@ -10,10 +10,10 @@
     while( !m_loads.empty() && now - m_loads.front().at > m_window ) {
         m_loads.pop_front();
     }
-    const bool shared = std::any_of( m_loads.begin(), m_loads.end(), [&]( const auto& it ) {
+    const bool sharesGrant = std::any_of( m_loads.begin(), m_loads.end(), [&]( const auto& it ) {
         return it.upstreamId == upstreamId && it.model == model;
     } );
-    if( shared ) {
+    if( sharesGrant ) {
         return true;
     }
     if( static_cast<int>( m_loads.size() ) >= maxLoads ) {
