--- a/src/gateway/patience.hpp
+++ b/src/gateway/client_timeouts.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
-#define COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
+#ifndef COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
+#define COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
 
 #include "gateway/model.hpp"
 
@@ -9,26 +9,26 @@
 namespace coursehead::gateway {
 
 //! How long a client waits before it disconnects. Anything generated later is wasted.
-struct Patience {
+struct ClientTimeouts {
     Millis firstEvent{
         0 };           //!< from its request to a stream's first event or to the complete answer
     Millis pause{ 0 }; //!< between the events of a stream; 0: not a stream
-    Millis whole{ 0 }; //!< from its request to the end of the answer
+    Millis completeAnswer{ 0 }; //!< from its request to the end of the answer
 };
 
 //! The timeouts of a client whose request came on `route`, with the deadline that it stated.
-Patience patienceOf( const Route& route, std::optional<Millis> deadline );
+ClientTimeouts clientTimeoutsOf( const Route& route, std::optional<Millis> deadline );
 
 /**
  * How long a request may wait before it is sent, counted from its arrival, if the upstream then
  * takes `work` until the first event or the answer. Zero if the answer would be too late in any
  * case.
  */
-Millis longestWait( const Patience& patience, Millis work );
+Millis maxWaitBeforeSend( const ClientTimeouts& patience, Millis work );
 
 //! Until when a request waits in a process that has no configuration and upstreams yet.
-MonoTime startWaitEnd( MonoTime arrived, MonoTime processStart );
+MonoTime startupWaitEnd( MonoTime arrived, MonoTime processStart );
 
 } // namespace coursehead::gateway
 
-#endif // COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
+#endif // COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
--- a/src/gateway/estimate.hpp
+++ b/src/gateway/estimate.hpp
@@ -6,7 +6,7 @@
 #include "gateway/pace.hpp"
 #include "gateway/selection.hpp"
 
-#include "decide/homes.hpp"
+#include "decide/allowed_regions.hpp"
 #include <span>
 
 #include <string>
@@ -15,11 +15,11 @@
 namespace coursehead::gateway {
 
 //! The requirements of a request that decide which upstreams can serve it and at what cost.
-struct Need {
+struct RequestNeeds {
     std::string service;
-    const Generation* generation = nullptr; //!< null for services that are not engines
-    std::span<const std::uint64_t> prefix;  //!< keys of the prompt's parts, see prefixKeys()
-    decide::Homes homes{};                  //!< regions in which the request may be served
+    const Generation* generation = nullptr;  //!< null for services that are not engines
+    std::span<const std::uint64_t> prefix;   //!< keys of the prompt's parts, see prefixKeys()
+    decide::AllowedRegions allowedRegions{}; //!< regions in which the request may be served
     Millis goal{ 0 };
     std::size_t requestBytes = 0;
 };
@@ -31,8 +31,8 @@
 };
 
 //! Estimates the terms of the cost of sending a request to `node` at this distance.
-Candidate estimate( const Node& node, const Need& need, const ModelPace& pace, Distance distance,
-                    MonoTime now );
+Candidate estimate( const Node& node, const RequestNeeds& need, const ModelPace& pace,
+                    Distance distance, MonoTime now );
 
 //! True if `candidate` at `node` costs less than any upstream that would first have to load
 //! `model`.
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -26,9 +26,9 @@
 
 Fleet::Fleet( net::asio::io_context& context, RandomSource& random, FleetSettings settings )
     : m_context( context ), m_random( random ), m_settings( std::move( settings ) ),
-      m_grants( m_settings.ceilingWindow + storeGrantLife ), m_started( MonoClock::now() ),
+      m_grants( m_settings.ceilingWindow + storeGrantLifetime ), m_started( MonoClock::now() ),
       m_lastTick( m_started ),
-      m_gateways( assumedGateways, m_settings.ceilingWindow + storeGrantLife ) {}
+      m_gateways( assumedGateways, m_settings.ceilingWindow + storeGrantLifetime ) {}
 
 Fleet::~Fleet() {
     adopt( nullptr );
@@ -57,7 +57,7 @@
     chooseLinks( now );
 }
 
-SpecTextPtr Fleet::specOf( const Service& service ) {
+EncodedSpecPtr Fleet::specOf( const Service& service ) {
     auto& known = m_specs[service.name];
     if( known.engine != service.engine ) {
         const bool unchanged = known.engine && *known.engine == *service.engine;
@@ -72,13 +72,13 @@
     const auto engine = service != nullptr ? service->engine : nullptr;
     if( service != nullptr && m_settings.cold.inForce() ) {
         node.coldPerS = decide::coldAllowance( m_settings.cold, service->coldPerS );
-        node.coldTime = service->coldTime;
+        node.coldDuration = service->coldDuration;
     }
     const auto gapTarget = m_table ? m_table->gapTarget( node.upstream.service ) : Millis{ 0 };
     const auto spec = engine ? specOf( *service ) : nullptr;
-    const bool unchanged = node.engine && spec && node.toldSpec == spec &&
+    const bool unchanged = node.engine && spec && node.specSentToSidecar == spec &&
                            node.gapTarget == gapTarget && node.sidecar &&
-                           node.toldBorn == node.upstream.born;
+                           node.bornSentToSidecar == node.upstream.born;
     node.engine = engine;
     if( unchanged ) {
         // Most configuration changes concern only routes, which sidecars do not need.
@@ -95,15 +95,15 @@
         node.sidecar->setTraffic( { m_settings.metrics, distanceLabel( distanceTo( node ) ) } );
         node.sidecar->setHandlers( sidecarHandlers( node.upstream.id ) );
     }
-    EngineNews news;
+    EngineUpdate news;
     news.gateway = m_settings.vm;
     news.configVersion = m_table->configuration().version;
     news.upstreamId = node.upstream.id;
     news.born = node.upstream.born;
-    node.toldBorn = node.upstream.born;
-    node.toldSpec = spec;
+    node.bornSentToSidecar = node.upstream.born;
+    node.specSentToSidecar = spec;
     news.gapTargetMs = gapTarget.count();
-    node.sidecar->setNews( std::move( news ), spec );
+    node.sidecar->announceEngine( std::move( news ), spec );
 }
 
 void Fleet::adopt( std::shared_ptr<SidecarLink> link ) {
@@ -141,17 +141,17 @@
             takeLoad( *node, load );
         }
     };
-    out.quarantines = [this]( const decide::QuarantineNews& update ) {
+    out.quarantines = [this]( const decide::QuarantineUpdate& update ) {
         if( m_onQuarantineUpdate ) {
             m_onQuarantineUpdate( update );
         }
     };
-    out.limits = [this]( const decide::LimitNews& update ) {
+    out.limits = [this]( const decide::LimitUpdate& update ) {
         if( m_onLimitUpdate ) {
             m_onLimitUpdate( update );
         }
     };
-    out.news = [this, id]( const StoreNews& update ) {
+    out.news = [this, id]( const StoreUpdate& update ) {
         if( m_onStoreUpdate ) {
             m_onStoreUpdate( id, update );
         }
@@ -160,10 +160,10 @@
 }
 
 void Fleet::takeReport( Node& node, const SidecarReport& report ) {
-    if( isFormer( report.born, node.upstream.born ) ) {
+    if( isOlderStart( report.born, node.upstream.born ) ) {
         return;
     }
-    if( isFormer( node.upstream.born, report.born ) ) {
+    if( isOlderStart( node.upstream.born, report.born ) ) {
         restart( node, report.born, MonoClock::now() );
         setEngine( node );
     }
@@ -190,7 +190,7 @@
     }
 }
 
-void Fleet::abandonWaits() {
+void Fleet::cancelModelWaits() {
     for( auto& it : m_nodes ) {
         if( it.second->sidecar ) {
             it.second->sidecar->failWaiters();
@@ -208,8 +208,8 @@
     return m_grants.take( node.upstream.id, model, share, now );
 }
 
-AskedPrompt Fleet::askedPrompt( const Need& need ) const {
-    AskedPrompt out;
+PendingPrompt Fleet::describePrompt( const RequestNeeds& need ) const {
+    PendingPrompt out;
     const auto& generation = *need.generation;
     out.tokens = generation.promptTokens;
     out.msPerToken = m_pace.readingMs( generation.model, 1 );
@@ -248,7 +248,7 @@
     if( recordsLoad ) {
         node->loading.erase( name );
     }
-    if( granted && answer.outcome == EnsureOutcome::needStore ) {
+    if( granted && answer.outcome == EnsureOutcome::needsWeightStore ) {
         // The engine was busy until the grant expired.
         m_grants.release( node->upstream.id, name );
     }
@@ -257,7 +257,7 @@
     const auto demand = m_demand.find( name );
     if( held && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
         demand->second.fleet.workPerS = answer.modelWorkPerS;
-        demand->second.fleet.toldAt = answered;
+        demand->second.fleet.reportedAt = answered;
     }
     co_return answer;
 }
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -40,15 +40,15 @@
 
 //! The upstream chosen for a request, with the estimates that the choice is based on.
 struct Choice {
-    NodePtr node;          //!< null: none is left, or one that is unavailable now serves it sooner
-    double expectedMs = 0; //!< estimated time to the first event or the answer
-    double workMs = 0;     //!< part of expectedMs spent reading the prompt
-    double loadMs = 0;     //!< part of expectedMs until model and adapter are loaded
-    double paceMs = 0;     //!< delay before sending, for running streams or a slow start
-    std::int64_t freshTokens = 0; //!< prompt tokens that the engine has not cached
-    Millis rest{ 0 };      //!< no node: until the first upstream takes requests again; 0: none
-    bool atLimit = false;  //!< no node: that upstream reached its limit; else it backs off
-    bool unqueued = false; //!< no known backlog or load was ahead of the request
+    NodePtr node;           //!< null: none is left, or one that is unavailable now serves it sooner
+    double expectedMs = 0;  //!< estimated time to the first event or the answer
+    double workMs = 0;      //!< part of expectedMs spent reading the prompt
+    double loadMs = 0;      //!< part of expectedMs until model and adapter are loaded
+    double sendDelayMs = 0; //!< delay before sending, for running streams or a slow start
+    std::int64_t uncachedTokens = 0; //!< prompt tokens that the engine has not cached
+    Millis unavailableFor{ 0 }; //!< no node: until the first upstream takes requests again; 0: none
+    bool atLimit = false;       //!< no node: that upstream reached its limit; else it backs off
+    bool unqueued = false;      //!< no known backlog or load was ahead of the request
     bool holdsModel = true;
     bool holdsAdapter = true;
     std::size_t candidates = 0;
@@ -81,37 +81,38 @@
     void tick( MonoTime now );
 
     //! Chooses among the upstreams of the service whose ids are not in `excluded`.
-    Choice choose( const Need& need, const std::set<std::string>& excluded, MonoTime now ) const;
+    Choice choose( const RequestNeeds& need, const std::set<std::string>& excluded,
+                   MonoTime now ) const;
     //! Asks a node's sidecar to load what a request needs and to permit its prompt. A permit that
     //! the answer `ready` grants is either used by a send or returned with returnPermit().
     net::Task<EnsureAnswer> ensure( NodePtr node, EnsureRequest request );
     //! Returns an unused permit to send a prompt.
     static void returnPermit( const Node& node, const EnsureAnswer& permit );
     //! Describes a request's prompt for the query to a sidecar.
-    AskedPrompt askedPrompt( const Need& need ) const;
+    PendingPrompt describePrompt( const RequestNeeds& need ) const;
     //! Starts loading a model at a node on behalf of no particular request.
     void startLoad( const NodePtr& node, const std::string& model );
     //! Records that a stream's first event arrived `measuredMs` after the request was sent.
     void noteFirstEvent( const Generation& generation, const Choice& choice, double measuredMs );
     //! Counts a request towards its model's demand.
-    void countDemand( const Need& need, const Choice& choice );
+    void countDemand( const RequestNeeds& need, const Choice& choice );
 
     //! Called with each store update that an upstream's sidecar relays.
     using StoreUpdateHandler =
-        std::function<void( const std::string& upstreamId, const StoreNews& update )>;
-    void onStoreNews( StoreUpdateHandler handler ) { m_onStoreUpdate = std::move( handler ); }
+        std::function<void( const std::string& upstreamId, const StoreUpdate& update )>;
+    void onStoreUpdate( StoreUpdateHandler handler ) { m_onStoreUpdate = std::move( handler ); }
     //! Called with the quarantines that a sidecar sends.
-    using QuarantineUpdateHandler = std::function<void( const decide::QuarantineNews& update )>;
+    using QuarantineUpdateHandler = std::function<void( const decide::QuarantineUpdate& update )>;
     void onQuarantineUpdate( QuarantineUpdateHandler handler ) {
         m_onQuarantineUpdate = std::move( handler );
     }
     //! Called with the upstream limits that a sidecar sends.
-    using LimitUpdateHandler = std::function<void( const decide::LimitNews& update )>;
-    void onLimits( LimitUpdateHandler handler ) { m_onLimitUpdate = std::move( handler ); }
+    using LimitUpdateHandler = std::function<void( const decide::LimitUpdate& update )>;
+    void onLimitUpdate( LimitUpdateHandler handler ) { m_onLimitUpdate = std::move( handler ); }
     const std::map<std::string, NodePtr>& nodes() const noexcept { return m_nodes; }
 
     //! Fails every wait for a model, as the process is about to stop.
-    void abandonWaits();
+    void cancelModelWaits();
 
     //! Number of gateways that share budgets, including this one.
     int gateways() const noexcept { return m_gateways.count(); }
@@ -134,7 +135,7 @@
     };
 
     //! True if a node may serve a request, regardless of the models that it holds.
-    bool mayServe( const Node& node, const Need& need, MonoTime now ) const;
+    bool mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const;
     static Unavailability unavailabilityOf( const Node& node, MonoTime now );
     //! `justOrdered`: the order was given now; else it may have been given earlier.
     void startEvacuation( const std::string& hall, bool justOrdered, MonoTime now );
@@ -153,14 +154,14 @@
     //! Opens and closes connections to sidecars according to their use.
     void chooseLinks( MonoTime now );
     decide::LinkCandidate linkCandidate( const Node& node, MonoTime now ) const;
-    DemandNews demandFor( Node& node, MonoTime now );
-    static void restart( Node& node, Born born, MonoTime now );
+    DemandUpdate demandFor( Node& node, MonoTime now );
+    static void restart( Node& node, StartTime born, MonoTime now );
     static void drop( Node& node );
     static void stopSidecar( Node& node );
     void setEngine( Node& node );
     std::shared_ptr<SidecarLink> linkTo( const Upstream& upstream );
     //! The encoded description of a service's engines; the cached one while it is unchanged.
-    SpecTextPtr specOf( const Service& service );
+    EncodedSpecPtr specOf( const Service& service );
     SidecarLink::Handlers sidecarHandlers( const std::string& id );
     void takeReport( Node& node, const SidecarReport& report );
     void takeLoad( Node& node, const EngineLoad& load );
@@ -174,7 +175,7 @@
     std::shared_ptr<const RouteTable> m_table;
     struct KnownSpec {
         std::shared_ptr<const EngineSpec> engine;
-        SpecTextPtr text;
+        EncodedSpecPtr text;
     };
     std::map<std::string, KnownSpec> m_specs;  //!< by service
     std::shared_ptr<SidecarLink> m_unusedLink; //!< see adopt(); null: none, or already used
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -19,23 +19,24 @@
     return { node.upstream.hall != m_settings.hall, known && region != own->second };
 }
 
-bool Fleet::mayServe( const Node& node, const Need& need, MonoTime now ) const {
+bool Fleet::mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const {
     if( node.upstream.service != need.service || !node.takesRequests( now ) ) {
         return false;
     }
-    const bool unrestricted = need.homes.route.empty() && need.homes.organisation.empty();
-    return unrestricted || decide::mayServe( need.homes, regionOf( node ) );
+    const bool unrestricted =
+        need.allowedRegions.route.empty() && need.allowedRegions.organisation.empty();
+    return unrestricted || decide::mayServe( need.allowedRegions, regionOf( node ) );
 }
 
 Fleet::Unavailability Fleet::unavailabilityOf( const Node& node, MonoTime now ) {
     Unavailability out;
     const auto backoff = node.announced.backoffLeft( now );
     out.atLimit = node.limit.fullLeft( now ).count() > 0;
-    out.timeLeft = out.atLimit ? std::max( backoff, node.limit.comeBackLeft( now ) ) : backoff;
+    out.timeLeft = out.atLimit ? std::max( backoff, node.limit.retryLeft( now ) ) : backoff;
     return out;
 }
 
-Choice Fleet::choose( const Need& need, const std::set<std::string>& excluded,
+Choice Fleet::choose( const RequestNeeds& need, const std::set<std::string>& excluded,
                       MonoTime now ) const {
     std::vector<Candidate> candidates;
     std::vector<NodePtr> nodes;
@@ -75,7 +76,7 @@
             loadCandidates.push_back( node );
         }
     }
-    assumeUnseen( candidates );
+    estimateUnseenLoads( candidates );
     auto best = gateway::choose( candidates );
     // A load costs more than most waits. The many nodes that do not hold the model are considered
     // only if no node that holds it is cheaper than any load.
@@ -84,7 +85,7 @@
         cheaperThanAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
     if( !goodEnough && !loadCandidates.empty() ) {
         std::for_each( loadCandidates.begin(), loadCandidates.end(), addCandidate );
-        assumeUnseen( candidates );
+        estimateUnseenLoads( candidates );
         best = gateway::choose( candidates );
     }
     // If a load elsewhere takes longer than a back-off, waiting is better: the load would only
@@ -96,7 +97,8 @@
     Choice out;
     out.candidates = candidates.size();
     if( !best || backoffIsShorter ) {
-        out.rest = ( backoffIsShorter ? shortestBackoff : shortestWait ).value_or( Millis{ 0 } );
+        out.unavailableFor =
+            ( backoffIsShorter ? shortestBackoff : shortestWait ).value_or( Millis{ 0 } );
         out.atLimit = shortestWait && shortestWait != shortestBackoff && !backoffIsShorter;
         return out;
     }
@@ -105,8 +107,8 @@
     out.bestCost = costOf( it );
     out.workMs = it.workMs;
     out.loadMs = it.loadMs;
-    out.paceMs = it.paceMs;
-    out.freshTokens = it.freshTokens;
+    out.sendDelayMs = it.sendDelayMs;
+    out.uncachedTokens = it.uncachedTokens;
     out.unqueued = it.backlogMs <= 0 && it.loadMs <= 0;
     out.expectedMs = it.backlogMs + it.workMs + it.loadMs;
     if( need.generation != nullptr && out.node->engine ) {
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -36,15 +36,15 @@
 }
 
 void LimitClient::refreshHolders( MonoTime now ) {
-    decide::LimitBook::Words words;
+    decide::GatewayLimits::Statements statements;
     for( const auto& it : m_fleet.nodes() ) {
         const Node& node = *it.second;
-        if( decide::concerns( node.limit.known, now ) ) {
-            auto word = decide::wordOf( startIdOf( node ), node.limit.known, now );
-            words.emplace( startIdOf( node ), std::move( word ) );
+        if( decide::isReportable( node.limit.known, now ) ) {
+            auto statement = decide::statementOf( startIdOf( node ), node.limit.known, now );
+            statements.emplace( startIdOf( node ), std::move( statement ) );
         }
     }
-    m_book.setWords( std::move( words ) );
+    m_book.setStatements( std::move( statements ) );
     if( m_book.idle() ) {
         return;
     }
@@ -61,10 +61,10 @@
 void LimitClient::sendUpdates( MonoTime now ) {
     m_updatesSentAt = now;
     for( const auto& [address, link] : m_links.all() ) {
-        if( !link->mayAnswer( now ) ) {
+        if( !link->mayBeResponsive( now ) ) {
             continue;
         }
-        auto update = m_book.takeNews( address, now );
+        auto update = m_book.takeUpdate( address, now );
         if( update ) {
             update->gateway = m_vm;
             link->send( Message( std::move( *update ) ) );
@@ -72,12 +72,13 @@
     }
 }
 
-void LimitClient::take( const decide::LimitNews& update, MonoTime now ) {
-    for( const auto& word : update.words ) {
-        const auto id = word.start.substr( 0, word.start.rfind( startSeparator ) );
+void LimitClient::applyUpdate( const decide::LimitUpdate& update, MonoTime now ) {
+    for( const auto& statement : update.statements ) {
+        const auto id = statement.start.substr( 0, statement.start.rfind( startSeparator ) );
         const auto it = m_fleet.nodes().find( id );
-        const bool known = it != m_fleet.nodes().end() && startIdOf( *it->second ) == word.start;
-        if( known && decide::takeWord( it->second->limit.known, word, now ) ) {
+        const bool known =
+            it != m_fleet.nodes().end() && startIdOf( *it->second ) == statement.start;
+        if( known && decide::applyStatement( it->second->limit.known, statement, now ) ) {
             const auto perS = it->second->limit.known.perS();
             log::info(
                 "upstream_limit_told",
@@ -96,17 +97,17 @@
     const auto link = m_links.find( m_book.holderOf( start, askedAt ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
-        decide::LimitAsk request;
-        request.word = decide::wordOf( start, node->limit.known, askedAt );
-        answer = co_await link->askLimit( std::move( request ), queryTimeout );
+        decide::LimitRequest request;
+        request.statement = decide::statementOf( start, node->limit.known, askedAt );
+        answer = co_await link->requestLimitPermit( std::move( request ), queryTimeout );
     }
-    const auto decision =
-        decide::followLimit( node->limit, answer, m_fleet.gateways(), askedAt, MonoClock::now() );
+    const auto decision = decide::applyLimitAnswer( node->limit, answer, m_fleet.gateways(),
+                                                    askedAt, MonoClock::now() );
     m_metrics.count( "limit_asks", decide::nameOf( decision.outcome ) );
     co_return decision;
 }
 
-void LimitClient::giveBack( const Node& node ) {
+void LimitClient::refund( const Node& node ) {
     const auto start = startIdOf( node );
     const auto link = m_links.find( m_book.holderOf( start, MonoClock::now() ) );
     if( link ) {
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_GATEWAY_LIMIT_CLIENT_HPP_INCLUDED
 
 #include "coursehead/metrics/metrics.hpp"
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "gateway/holder_links.hpp"
 
 #include <string>
@@ -20,12 +20,12 @@
     //! Periodic work: determines the holders of the limits and sends them updates.
     void tick( MonoTime now );
     //! Applies what other gateways and sidecars have learnt of limits.
-    void take( const decide::LimitNews& update, MonoTime now );
+    void applyUpdate( const decide::LimitUpdate& update, MonoTime now );
     //! Requests a permit for one request to an upstream with a limit. If the limit is reached, the
     //! node's state records when the upstream may take requests again.
     net::Task<decide::LimitDecision> obtain( NodePtr node );
     //! Returns the permit for a request that was not sent to its holder.
-    void giveBack( const Node& node );
+    void refund( const Node& node );
 
 private:
     void refreshHolders( MonoTime now );
@@ -35,22 +35,22 @@
     metrics::Metrics& m_metrics;
     std::string m_vm;
     HolderLinks m_links;
-    decide::LimitBook m_book;
+    decide::GatewayLimits m_book;
     MonoTime m_updatesSentAt;
 };
 
 //! A permit for one request. If it is not used, the destructor returns it to the limit's holder.
-class LimitLeave {
+class LimitPermit {
 public:
-    LimitLeave( LimitClient& client, NodePtr node )
+    LimitPermit( LimitClient& client, NodePtr node )
         : m_client( client ), m_node( std::move( node ) ) {}
-    ~LimitLeave() {
+    ~LimitPermit() {
         if( m_node ) {
-            m_client.giveBack( *m_node );
+            m_client.refund( *m_node );
         }
     }
-    LimitLeave( const LimitLeave& ) = delete;
-    LimitLeave& operator=( const LimitLeave& ) = delete;
+    LimitPermit( const LimitPermit& ) = delete;
+    LimitPermit& operator=( const LimitPermit& ) = delete;
 
     void use() { m_node.reset(); }
 
--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -45,9 +45,9 @@
 //! A service that routes forward requests to.
 struct Service {
     std::string name;
-    int connectionLimit = 0; //!< connections that an upstream accepts from all callers together
-    Millis coldTime{ 0 };    //!< an upstream is cold for this long after its start
-    double coldPerS = 0;     //!< requests a second that a cold upstream can take
+    int connectionLimit = 0;  //!< connections that an upstream accepts from all callers together
+    Millis coldDuration{ 0 }; //!< an upstream is cold for this long after its start
+    double coldPerS = 0;      //!< requests a second that a cold upstream can take
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
 };
 
@@ -111,18 +111,18 @@
 
 //! When a process of an upstream was started, in Unix milliseconds by its own clock; 0: unknown.
 //! Only comparable between starts of the same upstream.
-using Born = std::int64_t;
+using StartTime = std::int64_t;
 
 //! True if a message about the start `messageStart` is outdated, because a later start is known
 //! already.
-inline bool isFormer( Born messageStart, Born knownStart ) noexcept {
+inline bool isOlderStart( StartTime messageStart, StartTime knownStart ) noexcept {
     return messageStart != 0 && messageStart < knownStart;
 }
 
 //! An upstream as the platform lists it. It may restart under the same id and then has no state.
 struct Upstream {
     std::string id;
-    Born born = 0;
+    StartTime born = 0;
     decide::StorePosition created; //!< position in the store at which it was first listed
     std::string service;
     std::string ip;
@@ -145,13 +145,13 @@
 
 //! The state of an engine, as it reports it.
 struct EngineReport {
-    Born born = 0;
+    StartTime born = 0;
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters that are being loaded: MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< adapters that are being loaded: MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
-    bool ordering = false;      //!< an order is in progress
-    std::uint64_t sequence = 0; //!< number of orders accepted
+    bool orderInProgress = false; //!< an order is in progress
+    std::uint64_t sequence = 0;   //!< number of orders accepted
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling =
@@ -174,7 +174,7 @@
     std::string model;
     std::string adapter; //!< empty: none
     std::int64_t promptTokens = 0;
-    std::int64_t mostTokens = 0;
+    std::int64_t maxTokens = 0;
     std::vector<PromptPart> parts;
 };
 
--- a/src/gateway/organisation.hpp
+++ b/src/gateway/organisation.hpp
@@ -43,7 +43,7 @@
     double perS = 0;  //!< units a second; 0: unlimited
     double burst = 0; //!< units that may be used at once beyond the rate
     QuotaUnit unit = QuotaUnit::requests;
-    std::int64_t plainTokens = 0; //!< tokens charged to a request that does not state them
+    std::int64_t defaultTokens = 0; //!< tokens charged to a request that does not state them
 
     bool operator==( const QuotaLimit& ) const = default;
     bool limited() const noexcept { return perS > 0; }
--- a/src/gateway/poison_guard.cpp
+++ b/src/gateway/poison_guard.cpp
@@ -21,7 +21,7 @@
 //! Fingerprints listed in one log line.
 constexpr std::size_t maxLoggedFingerprints = 8;
 
-std::string fingerprintList( std::span<const decide::BrokenRun> runs ) {
+std::string fingerprintList( std::span<const decide::InterruptedRun> runs ) {
     std::string out;
     for( const auto& it : runs.first( std::min( runs.size(), maxLoggedFingerprints ) ) ) {
         out += ( out.empty() ? "" : "," ) + decide::fingerprintText( it.fingerprint );
@@ -33,8 +33,9 @@
 
 PoisonGuard::PoisonGuard( net::asio::io_context& context, Fleet& fleet, metrics::Metrics& metrics )
     : m_context( context ), m_fleet( fleet ), m_metrics( metrics ) {
-    m_fleet.onQuarantineUpdate(
-        [this]( const decide::QuarantineNews& update ) { take( update.entries, "sidecar" ); } );
+    m_fleet.onQuarantineUpdate( [this]( const decide::QuarantineUpdate& update ) {
+        applyUpdate( update.entries, "sidecar" );
+    } );
 }
 
 void PoisonGuard::noteBrokenRun( const NodePtr& node, decide::Fingerprint fingerprint,
@@ -43,7 +44,7 @@
     const bool leaving = node->leaving() || node->leavesAt;
     // Sends that were in progress when their content was quarantined add no evidence.
     const bool known = quarantineLeft( fingerprint, MonoClock::now() ).count() > 0;
-    if( leaving || known || m_completedRuns.forgive( fingerprint ) ) {
+    if( leaving || known || m_completedRuns.consume( fingerprint ) ) {
         return;
     }
     auto [it, first] = m_brokenRuns.try_emplace( node->upstream.id );
@@ -80,7 +81,7 @@
         co_return true;
     }
     net::SocketDeadline deadline( socket, MonoClock::now() + openConnectionWait,
-                                  net::WhenDue::cancel );
+                                  net::DeadlineAction::cancel );
     co_await socket.async_wait( net::Socket::wait_read, net::tupled );
     if( !deadline.expired() ) {
         co_return true;
@@ -116,20 +117,21 @@
     std::vector<std::string_view> ips;
     std::vector<std::shared_ptr<SidecarLink>> links;
     for( const auto& [id, node] : m_fleet.nodes() ) {
-        if( node->sidecar && node->common && node->sidecar->mayAnswer( now ) ) {
+        if( node->sidecar && node->connectedToAllGateways &&
+            node->sidecar->mayBeResponsive( now ) ) {
             ips.emplace_back( node->upstream.ip );
             links.push_back( node->sidecar );
         }
     }
     std::vector<std::shared_ptr<SidecarLink>> out;
-    for( const auto n : decide::holdersOf( fingerprint, ips ) ) {
+    for( const auto n : decide::poisonHolders( fingerprint, ips ) ) {
         out.push_back( links[n] );
     }
     return out;
 }
 
 void PoisonGuard::sendEvidence( const std::string& upstreamId,
-                                std::span<const decide::BrokenRun> runs ) {
+                                std::span<const decide::InterruptedRun> runs ) {
     const auto now = MonoClock::now();
     std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> evidenceByHolder;
     std::vector<decide::Quarantine> own;
@@ -146,10 +148,11 @@
     for( auto& [holder, evidence] : evidenceByHolder ) {
         holder->send( Message( std::move( evidence ) ) );
     }
-    take( own, "own" );
+    applyUpdate( own, "own" );
 }
 
-void PoisonGuard::take( std::span<const decide::Quarantine> entries, std::string_view from ) {
+void PoisonGuard::applyUpdate( std::span<const decide::Quarantine> entries,
+                               std::string_view from ) {
     const auto now = MonoClock::now();
     for( const auto& it : entries ) {
         if( !m_quarantines.put( it, now ) ) {
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -3,9 +3,9 @@
 #define COURSEHEAD_GATEWAY_POISON_GUARD_HPP_INCLUDED
 
 #include "coursehead/metrics/metrics.hpp"
-#include "decide/poison_book.hpp"
+#include "decide/completed_runs.hpp"
+#include "decide/poison_counter.hpp"
 #include "decide/quarantine_list.hpp"
-#include "decide/whole_runs.hpp"
 #include "gateway/fleet.hpp"
 
 #include <map>
@@ -39,13 +39,14 @@
     //! Records that a request has run to completion.
     void noteCompletedRun( decide::Fingerprint fingerprint );
     //! Adds quarantines; `from` names their source: a sidecar, the store or this gateway.
-    void take( std::span<const decide::Quarantine> entries, std::string_view from );
+    void applyUpdate( std::span<const decide::Quarantine> entries, std::string_view from );
 
 private:
     //! Checks whether the upstream of broken runs has ended, and sends the evidence if so.
     net::Task<> investigateBrokenRuns( NodePtr node );
     net::Task<bool> hasEnded( const Node& node );
-    void sendEvidence( const std::string& upstreamId, std::span<const decide::BrokenRun> runs );
+    void sendEvidence( const std::string& upstreamId,
+                       std::span<const decide::InterruptedRun> runs );
     //! Links to the sidecars that count the ends of upstreams for a content.
     std::vector<std::shared_ptr<SidecarLink>> evidenceHolders( decide::Fingerprint fingerprint,
                                                                MonoTime now ) const;
@@ -53,10 +54,10 @@
     net::asio::io_context& m_context;
     Fleet& m_fleet;
     metrics::Metrics& m_metrics;
-    decide::PoisonBook m_book; //!< evidence of this gateway alone
+    decide::PoisonCounter m_book; //!< evidence of this gateway alone
     decide::QuarantineList m_quarantines;
-    decide::WholeRuns m_completedRuns;
-    std::map<std::string, std::vector<decide::BrokenRun>>
+    decide::CompletedRuns m_completedRuns;
+    std::map<std::string, std::vector<decide::InterruptedRun>>
         m_brokenRuns; //!< by upstream, while it is being checked
 };
 
--- a/src/gateway/prefix_cache.hpp
+++ b/src/gateway/prefix_cache.hpp
@@ -25,7 +25,8 @@
 
     void setCapacity( std::int64_t tokens );
     //! Tokens of the prompt that the engine has cached and need not read again.
-    std::int64_t kept( std::span<const std::uint64_t> keys, const Generation& generation ) const;
+    std::int64_t cachedTokens( std::span<const std::uint64_t> keys,
+                               const Generation& generation ) const;
     //! Records that the engine read the prompt.
     void insert( std::span<const std::uint64_t> keys, const Generation& generation );
     //! Records that the engine read one part and all parts before it.
--- a/src/gateway/reading_leave.hpp
+++ b/src/gateway/prompt_permit.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
-#define COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
+#ifndef COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
+#define COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
 
 #include "gateway/fleet.hpp"
 
@@ -10,17 +10,17 @@
 
 //! A sidecar's permit to send one prompt to its engine. If it is not used, the destructor returns
 //! it to the sidecar, which would otherwise reserve the engine's time for the prompt.
-class ReadingLeave {
+class PromptPermit {
 public:
-    ReadingLeave( NodePtr node, EnsureAnswer answer )
+    PromptPermit( NodePtr node, EnsureAnswer answer )
         : m_node( std::move( node ) ), m_answer( answer ) {}
-    ~ReadingLeave() {
+    ~PromptPermit() {
         if( m_node ) {
             Fleet::returnPermit( *m_node, m_answer );
         }
     }
-    ReadingLeave( const ReadingLeave& ) = delete;
-    ReadingLeave& operator=( const ReadingLeave& ) = delete;
+    PromptPermit( const PromptPermit& ) = delete;
+    PromptPermit& operator=( const PromptPermit& ) = delete;
 
     void use() { m_node.reset(); }
 
@@ -31,4 +31,4 @@
 
 } // namespace coursehead::gateway
 
-#endif // COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
+#endif // COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -72,9 +72,9 @@
 void QuotaClient::sendUpdates( MonoTime now ) {
     m_updatesSentAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
-        auto update = m_book.newsFor( ip );
+        auto update = m_book.updateFor( ip );
         const bool updateNeeded = !update.rates.empty() || m_updatedHolders.contains( ip );
-        if( !updateNeeded || !link->mayAnswer( now ) ) {
+        if( !updateNeeded || !link->mayBeResponsive( now ) ) {
             continue;
         }
         if( update.rates.empty() ) {
@@ -84,7 +84,7 @@
         }
         update.gateway = m_vm;
         link->send( Message( std::move( update ) ) );
-        m_book.noteTold( ip, now );
+        m_book.noteUpdateSent( ip, now );
     }
 }
 
@@ -95,12 +95,12 @@
     if( !holder ) {
         co_return std::nullopt;
     }
-    decide::QuotaAsk request;
+    decide::QuotaRequest request;
     request.organisation = organisation;
     request.needed = units;
-    request.wished = m_book.wishFor( organisation, units, askedAt );
-    request.patienceMs = remaining( askedAt, until ).count();
-    const auto answer = co_await holder->askQuota( std::move( request ), queryTimeout );
+    request.preferred = m_book.amountToRequest( organisation, units, askedAt );
+    request.maxWaitMs = remaining( askedAt, until ).count();
+    const auto answer = co_await holder->requestQuota( std::move( request ), queryTimeout );
     if( !answer || !answer->known ) {
         co_return std::nullopt;
     }
@@ -108,7 +108,7 @@
         const auto after = std::max( Millis( answer->waitMs ), minRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
-    m_book.keep( organisation, answer->granted - units, askedAt );
+    m_book.addGrant( organisation, answer->granted - units, askedAt );
     if( answer->waitMs > 0 ) {
         co_await net::pause( m_context, Millis( answer->waitMs ) );
     }
@@ -133,13 +133,13 @@
             co_return QuotaDecision{};
         }
         if( now + retryInterval >= until ) {
-            co_return QuotaDecision{ QuotaVerdict::unknown, decide::QuotaBook::reserveWait() };
+            co_return QuotaDecision{ QuotaVerdict::unknown, decide::GatewayQuotas::reserveWait() };
         }
         co_await net::pause( m_context, retryInterval );
     }
 }
 
-void QuotaClient::giveBack( const std::string& organisation, double units ) {
+void QuotaClient::refund( const std::string& organisation, double units ) {
     const auto now = MonoClock::now();
     const auto link = m_links.find( m_book.holderOf( organisation, now ) );
     if( link ) {
--- a/src/gateway/quota_client.hpp
+++ b/src/gateway/quota_client.hpp
@@ -2,7 +2,7 @@
 #ifndef COURSEHEAD_GATEWAY_QUOTA_CLIENT_HPP_INCLUDED
 #define COURSEHEAD_GATEWAY_QUOTA_CLIENT_HPP_INCLUDED
 
-#include "decide/quota_book.hpp"
+#include "decide/gateway_quotas.hpp"
 #include "gateway/holder_links.hpp"
 #include "platform/node_settings.hpp"
 
@@ -38,7 +38,7 @@
     //! Obtains `units` of an organisation's quota; waits up to `timeout` for them.
     net::Task<QuotaDecision> obtain( std::string organisation, double units, Millis timeout );
     //! Returns the units of a request that has not run.
-    void giveBack( const std::string& organisation, double units );
+    void refund( const std::string& organisation, double units );
 
 private:
     //! Asks the quota's holder for units; nullopt if it could not be asked.
@@ -49,7 +49,7 @@
 
     net::asio::io_context& m_context;
     std::string m_vm;
-    decide::QuotaBook m_book;
+    decide::GatewayQuotas m_book;
     HolderLinks m_links;
     std::set<std::string> m_updatedHolders; //!< addresses of the holders that count this gateway
     MonoTime m_updatesSentAt;
--- a/src/gateway/retry_window.cpp
+++ b/src/gateway/retry_window.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-void RetryWindow::countFirst( MonoTime now ) {
+void RetryWindow::countFirstSend( MonoTime now ) {
     m_firstSends.push_back( now );
     if( m_firstSends.size() > maxFirstSends ) {
         m_firstSends.pop_front();
--- a/src/gateway/selection.cpp
+++ b/src/gateway/selection.cpp
@@ -33,7 +33,7 @@
 
 } // namespace
 
-void assumeUnseen( std::span<Candidate> candidates ) {
+void estimateUnseenLoads( std::span<Candidate> candidates ) {
     double backlogMs = 0;
     int seen = 0;
     Candidate* preferred = nullptr;
@@ -50,8 +50,9 @@
         }
     }
     if( preferred != nullptr && !preferred->seen ) {
-        preferred->workMs = std::min( preferred->workMs, preferred->homeWorkMs );
-        preferred->freshTokens = std::min( preferred->freshTokens, preferred->homeTokens );
+        preferred->workMs = std::min( preferred->workMs, preferred->unsharedWorkMs );
+        preferred->uncachedTokens =
+            std::min( preferred->uncachedTokens, preferred->unsharedTokens );
     }
     const double meanBacklogMs = seen > 0 ? backlogMs / seen : 0;
     for( auto& it : candidates ) {
@@ -62,9 +63,10 @@
 }
 
 double costOf( const Candidate& candidate ) {
-    return interference( candidate ) + candidate.latePauses * latePausePenaltyMs +
+    return interference( candidate ) + candidate.latePauseShare * latePausePenaltyMs +
            ( candidate.backlogMs + candidate.workMs ) * candidate.slowness + candidate.loadMs +
-           candidate.paceMs + candidate.leavingMs + candidate.failures * failurePenaltyMs +
+           candidate.sendDelayMs + candidate.evacuationPenaltyMs +
+           candidate.failures * failurePenaltyMs +
            ( candidate.otherHall ? candidate.crossHallMs : 0 ) +
            ( candidate.otherRegion ? candidate.crossRegionMs : 0 );
 }
--- a/src/gateway/selection.hpp
+++ b/src/gateway/selection.hpp
@@ -18,24 +18,24 @@
 struct Candidate {
     bool avoided = false; //!< recently unreachable: chosen only if all others are avoided too
     double backlogMs = 0; //!< work queued ahead of the request
-    std::int64_t freshTokens = 0; //!< prompt tokens that the engine has not cached
-    double workMs = 0;            //!< reading the uncached prompt tokens; typical work if plain
-    double loadMs = 0;            //!< until the model and the adapter are loaded
-    double paceMs = 0;            //!< delay before sending, for running streams or a slow start
-    double slowness = 1;          //!< factor on backlogMs and workMs
-    double failures = 0;          //!< recent failures, each decaying with time
-    std::uint32_t decoding = 0;   //!< running streams that pause while the engine reads prompts
-    double latePauses = 0;        //!< share of recent streams with a pause above the gap target
+    std::int64_t uncachedTokens = 0; //!< prompt tokens that the engine has not cached
+    double workMs = 0;               //!< reading the uncached prompt tokens; typical work if plain
+    double loadMs = 0;               //!< until the model and the adapter are loaded
+    double sendDelayMs = 0;          //!< delay before sending, for running streams or a slow start
+    double slowness = 1;             //!< factor on backlogMs and workMs
+    double failures = 0;             //!< recent failures, each decaying with time
+    std::uint32_t decoding = 0;      //!< running streams that pause while the engine reads prompts
+    double latePauseShare = 0;       //!< share of recent streams with a pause above the gap target
     bool otherHall = false;
     double crossHallMs = 0; //!< penalty for an upstream in another hall
     bool otherRegion = false;
-    double crossRegionMs = 0;    //!< penalty for an upstream in another region
-    double leavingMs = 0;        //!< penalty for a hall that is being evacuated
-    bool seen = true;            //!< a fresh report tells its load and cached prefixes
-    bool holds = true;           //!< the model is loaded, or the request needs none
-    double homeWorkMs = 0;       //!< reading the tokens not shared with other prompts
-    std::int64_t homeTokens = 0; //!< tokens not shared with other prompts
-    std::uint64_t affinity = 0;  //!< rendezvous hash; the highest wins among equal costs
+    double crossRegionMs = 0;        //!< penalty for an upstream in another region
+    double evacuationPenaltyMs = 0;  //!< penalty for a hall that is being evacuated
+    bool seen = true;                //!< a fresh report tells its load and cached prefixes
+    bool holds = true;               //!< the model is loaded, or the request needs none
+    double unsharedWorkMs = 0;       //!< reading the tokens not shared with other prompts
+    std::int64_t unsharedTokens = 0; //!< tokens not shared with other prompts
+    std::uint64_t affinity = 0;      //!< rendezvous hash; the highest wins among equal costs
 };
 
 /**
@@ -44,7 +44,7 @@
  * highest affinity among those that hold the model is taken to have the prompt's shared parts
  * cached, because every gateway sends them there.
  */
-void assumeUnseen( std::span<Candidate> candidates );
+void estimateUnseenLoads( std::span<Candidate> candidates );
 //! Expected time to serve the request at the candidate plus all penalties, in milliseconds.
 double costOf( const Candidate& candidate );
 //! Index of the candidate with the lowest cost; an avoided one only if all are avoided. Nullopt if
--- a/src/gateway/store_grants.hpp
+++ b/src/gateway/store_grants.hpp
@@ -12,7 +12,7 @@
 //! A granted load from the weight store must start within this time or not at all. Otherwise a load
 //! that waited for its engine starts in a later window than the one it was counted in, and the rate
 //! is exceeded: twelve loads start in a window that permits eleven.
-inline constexpr Millis storeGrantLife{ 1000 };
+inline constexpr Millis storeGrantLifetime{ 1000 };
 
 //! Loads from the weight store that this gateway granted within a sliding window.
 class StoreGrants {
