--- a/src/gateway/client_timeouts.cpp
+++ b/src/gateway/client_timeouts.cpp
@@ -39,8 +39,8 @@
     return out;
 }
 
-Millis maxWaitBeforeSend( const ClientTimeouts& patience, Millis work ) {
-    return std::max( patience.firstEvent - work - deliveryReserve, Millis{ 0 } );
+Millis maxWaitBeforeSend( const ClientTimeouts& timeouts, Millis work ) {
+    return std::max( timeouts.firstEvent - work - deliveryReserve, Millis{ 0 } );
 }
 
 MonoTime startupWaitEnd( MonoTime arrived, MonoTime processStart ) {
--- a/src/gateway/client_timeouts.hpp
+++ b/src/gateway/client_timeouts.hpp
@@ -10,10 +10,9 @@
 
 //! How long a client waits before it disconnects. Anything generated later is wasted.
 struct ClientTimeouts {
-    Millis firstEvent{
-        0 };           //!< from its request to a stream's first event or to the complete answer
-    Millis pause{ 0 }; //!< between the events of a stream; 0: not a stream
-    Millis completeAnswer{ 0 }; //!< from its request to the end of the answer
+    Millis firstEvent{ 0 };     //!< from the request to the first event or the complete answer
+    Millis pause{ 0 };          //!< between the events of a stream; 0: not a stream
+    Millis completeAnswer{ 0 }; //!< from the request to the end of the answer
 };
 
 //! The timeouts of a client whose request came on `route`, with the deadline that it stated.
@@ -24,7 +23,7 @@
  * takes `work` until the first event or the answer. Zero if the answer would be too late in any
  * case.
  */
-Millis maxWaitBeforeSend( const ClientTimeouts& patience, Millis work );
+Millis maxWaitBeforeSend( const ClientTimeouts& timeouts, Millis work );
 
 //! Until when a request waits in a process that has no configuration and upstreams yet.
 MonoTime startupWaitEnd( MonoTime arrived, MonoTime processStart );
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -58,13 +58,13 @@
 }
 
 EncodedSpecPtr Fleet::specOf( const Service& service ) {
-    auto& known = m_specs[service.name];
-    if( known.engine != service.engine ) {
-        const bool unchanged = known.engine && *known.engine == *service.engine;
-        known.engine = service.engine;
-        known.text = unchanged ? known.text : encodeSpec( *service.engine );
+    auto& cached = m_specs[service.name];
+    if( cached.engine != service.engine ) {
+        const bool unchanged = cached.engine && *cached.engine == *service.engine;
+        cached.engine = service.engine;
+        cached.text = unchanged ? cached.text : encodeSpec( *service.engine );
     }
-    return known.text;
+    return cached.text;
 }
 
 void Fleet::setEngine( Node& node ) {
@@ -95,15 +95,15 @@
         node.sidecar->setTraffic( { m_settings.metrics, distanceLabel( distanceTo( node ) ) } );
         node.sidecar->setHandlers( sidecarHandlers( node.upstream.id ) );
     }
-    EngineUpdate news;
-    news.gateway = m_settings.vm;
-    news.configVersion = m_table->configuration().version;
-    news.upstreamId = node.upstream.id;
-    news.born = node.upstream.born;
+    EngineUpdate update;
+    update.gateway = m_settings.vm;
+    update.configVersion = m_table->configuration().version;
+    update.upstreamId = node.upstream.id;
+    update.born = node.upstream.born;
     node.bornSentToSidecar = node.upstream.born;
     node.specSentToSidecar = spec;
-    news.gapTargetMs = gapTarget.count();
-    node.sidecar->announceEngine( std::move( news ), spec );
+    update.gapTargetMs = gapTarget.count();
+    node.sidecar->announceEngine( std::move( update ), spec );
 }
 
 void Fleet::adopt( std::shared_ptr<SidecarLink> link ) {
@@ -241,21 +241,21 @@
     const bool needsLoad =
         !node->holdsModel( request.model, now ) && ( weightsAvailable || request.fromStore );
     const std::string name = request.model;
-    const bool granted = request.fromStore;
-    const bool held = node->holdsModel( name, now );
+    const bool storeGranted = request.fromStore;
+    const bool heldAtStart = node->holdsModel( name, now );
     const bool recordsLoad = needsLoad && node->loading.emplace( name, now ).second;
     const auto answer = co_await link->ensure( std::move( request ) );
     if( recordsLoad ) {
         node->loading.erase( name );
     }
-    if( granted && answer.outcome == EnsureOutcome::needsWeightStore ) {
+    if( storeGranted && answer.outcome == EnsureOutcome::needsWeightStore ) {
         // The engine was busy until the grant expired.
         m_grants.release( node->upstream.id, name );
     }
     const auto answered = MonoClock::now();
     node->takeReadingWait( static_cast<double>( answer.waitMs ), answered );
     const auto demand = m_demand.find( name );
-    if( held && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
+    if( heldAtStart && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
         demand->second.fleet.workPerS = answer.modelWorkPerS;
         demand->second.fleet.reportedAt = answered;
     }
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -142,7 +142,7 @@
     void endEvacuation( const std::string& hall, MonoTime now );
     //! Loads copies in other halls of the models that only `hall` holds.
     void addCopiesOutside( const std::string& hall, MonoTime now );
-    void addReplicas( const std::map<std::string, int>& held, MonoTime now );
+    void addReplicas( const std::map<std::string, int>& copies, MonoTime now );
     void addReplica( const std::string& service, const std::string& model, double load,
                      MonoTime now );
     void add( const Upstream& upstream, MonoTime now );
@@ -181,8 +181,7 @@
     std::shared_ptr<SidecarLink> m_unusedLink; //!< see adopt(); null: none, or already used
     std::map<std::string, NodePtr> m_nodes;
     std::map<std::string, Demand> m_demand; //!< by model
-    std::map<std::string, int>
-        m_copies; //!< number of upstreams that hold a model, at the last tick
+    std::map<std::string, int> m_copies;    //!< holders of each model at the last tick
     decide::Evacuations m_evacuations;
     ModelPace m_pace;
     StoreGrants m_grants; //!< the rate counts when loads start: window plus lifetime
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -15,8 +15,8 @@
 Distance Fleet::distanceTo( const Node& node ) const {
     const auto own = m_settings.regions.find( m_settings.hall );
     const auto region = regionOf( node );
-    const bool known = own != m_settings.regions.end() && !region.empty();
-    return { node.upstream.hall != m_settings.hall, known && region != own->second };
+    const bool regionsKnown = own != m_settings.regions.end() && !region.empty();
+    return { node.upstream.hall != m_settings.hall, regionsKnown && region != own->second };
 }
 
 bool Fleet::mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const {
--- a/src/gateway/fleet_copies.cpp
+++ b/src/gateway/fleet_copies.cpp
@@ -97,10 +97,10 @@
                { { "hall", hall }, { "models", static_cast<std::int64_t>( wanted.size() ) } } );
 }
 
-void Fleet::addReplicas( const std::map<std::string, int>& held, MonoTime now ) {
+void Fleet::addReplicas( const std::map<std::string, int>& copies, MonoTime now ) {
     for( auto& [model, demand] : m_demand ) {
-        const auto it = held.find( model );
-        demand.fleet.copies = it == held.end() ? 0 : it->second;
+        const auto it = copies.find( model );
+        demand.fleet.copies = it == copies.end() ? 0 : it->second;
         if( decide::shouldAddReplica( demand.fleet, gateways(), m_random.unit(), now ) ) {
             demand.fleet.lastReplica = now;
             addReplica( demand.service, model, decide::copyLoad( demand.fleet ), now );
--- a/src/gateway/fleet_demand.cpp
+++ b/src/gateway/fleet_demand.cpp
@@ -53,8 +53,8 @@
             entry.perS = demand->second.perS;
             entry.workPerS = demand->second.workPerS;
         }
-        const auto held = m_copies.find( model );
-        entry.copies = held == m_copies.end() ? 0 : held->second;
+        const auto copyCount = m_copies.find( model );
+        entry.copies = copyCount == m_copies.end() ? 0 : copyCount->second;
         entry.running = node.runningOf( model );
         entry.adaptersUsed = node.adaptersInUse( model );
         out.models.push_back( std::move( entry ) );
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -30,7 +30,7 @@
 
 void LimitClient::tick( MonoTime now ) {
     refreshHolders( now );
-    if( !m_book.idle() && now - m_updatesSentAt >= updateInterval ) {
+    if( !m_limits.idle() && now - m_updatesSentAt >= updateInterval ) {
         sendUpdates( now );
     }
 }
@@ -44,14 +44,14 @@
             statements.emplace( startIdOf( node ), std::move( statement ) );
         }
     }
-    m_book.setStatements( std::move( statements ) );
-    if( m_book.idle() ) {
+    m_limits.setStatements( std::move( statements ) );
+    if( m_limits.idle() ) {
         return;
     }
     m_links.refresh( now );
-    if( m_book.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
+    if( m_limits.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "limit_holders_changed",
-                   { { "limits", static_cast<std::int64_t>( m_book.size() ) },
+                   { { "limits", static_cast<std::int64_t>( m_limits.size() ) },
                      { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
         sendUpdates( now );
@@ -64,7 +64,7 @@
         if( !link->mayBeResponsive( now ) ) {
             continue;
         }
-        auto update = m_book.takeUpdate( address, now );
+        auto update = m_limits.takeUpdate( address, now );
         if( update ) {
             update->gateway = m_vm;
             link->send( Message( std::move( *update ) ) );
@@ -76,9 +76,9 @@
     for( const auto& statement : update.statements ) {
         const auto id = statement.start.substr( 0, statement.start.rfind( startSeparator ) );
         const auto it = m_fleet.nodes().find( id );
-        const bool known =
+        const bool isKnownStart =
             it != m_fleet.nodes().end() && startIdOf( *it->second ) == statement.start;
-        if( known && decide::applyStatement( it->second->limit.known, statement, now ) ) {
+        if( isKnownStart && decide::applyStatement( it->second->limit.known, statement, now ) ) {
             const auto perS = it->second->limit.known.perS();
             log::info(
                 "upstream_limit_told",
@@ -89,16 +89,16 @@
 
 net::Task<decide::LimitDecision> LimitClient::obtain( NodePtr node ) {
     const auto askedAt = MonoClock::now();
-    const auto start = startIdOf( *node );
-    if( !m_book.knows( start ) ) {
+    const auto startId = startIdOf( *node );
+    if( !m_limits.knows( startId ) ) {
         refreshHolders( askedAt );
         sendUpdates( askedAt );
     }
-    const auto link = m_links.find( m_book.holderOf( start, askedAt ) );
+    const auto link = m_links.find( m_limits.holderOf( startId, askedAt ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
         decide::LimitRequest request;
-        request.statement = decide::statementOf( start, node->limit.known, askedAt );
+        request.statement = decide::statementOf( startId, node->limit.known, askedAt );
         answer = co_await link->requestLimitPermit( std::move( request ), queryTimeout );
     }
     const auto decision = decide::applyLimitAnswer( node->limit, answer, m_fleet.gateways(),
@@ -108,10 +108,10 @@
 }
 
 void LimitClient::refund( const Node& node ) {
-    const auto start = startIdOf( node );
-    const auto link = m_links.find( m_book.holderOf( start, MonoClock::now() ) );
+    const auto startId = startIdOf( node );
+    const auto link = m_links.find( m_limits.holderOf( startId, MonoClock::now() ) );
     if( link ) {
-        link->send( Message( decide::LimitReturn{ start } ) );
+        link->send( Message( decide::LimitReturn{ startId } ) );
     }
 }
 
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -35,7 +35,7 @@
     metrics::Metrics& m_metrics;
     std::string m_vm;
     HolderLinks m_links;
-    decide::GatewayLimits m_book;
+    decide::GatewayLimits m_limits;
     MonoTime m_updatesSentAt;
 };
 
--- a/src/gateway/poison_guard.cpp
+++ b/src/gateway/poison_guard.cpp
@@ -43,22 +43,22 @@
     // An upstream that was about to shut down breaks connections whatever their content.
     const bool leaving = node->leaving() || node->leavesAt;
     // Sends that were in progress when their content was quarantined add no evidence.
-    const bool known = quarantineLeft( fingerprint, MonoClock::now() ).count() > 0;
-    if( leaving || known || m_completedRuns.consume( fingerprint ) ) {
+    const bool alreadyQuarantined = quarantineLeft( fingerprint, MonoClock::now() ).count() > 0;
+    if( leaving || alreadyQuarantined || m_completedRuns.consume( fingerprint ) ) {
         return;
     }
-    auto [it, first] = m_brokenRuns.try_emplace( node->upstream.id );
+    auto [it, firstRun] = m_brokenRuns.try_emplace( node->upstream.id );
     if( it->second.size() < maxBrokenRuns ) {
         it->second.push_back( { fingerprint, weight, m_quarantines.times( fingerprint ) } );
     }
-    if( first ) {
+    if( firstRun ) {
         net::start( m_context, investigateBrokenRuns( node ), "upstream's end" );
     }
 }
 
 void PoisonGuard::noteCompletedRun( decide::Fingerprint fingerprint ) {
     m_completedRuns.note( fingerprint );
-    const bool suspected = m_book.clear( fingerprint );
+    const bool suspected = m_poisonCounter.clear( fingerprint );
     const bool quarantined = m_quarantines.times( fingerprint ) > 0;
     if( !suspected && !quarantined ) {
         return;
@@ -89,8 +89,8 @@
     // Some process listens there: the same one, or one that was started after it ended.
     const auto until = MonoClock::now() + endVisibleWithin;
     while( MonoClock::now() < until ) {
-        const bool another = node.upstream.born != born;
-        if( node.gone || node.replaced || another || !node.engineReachable ) {
+        const bool restarted = node.upstream.born != born;
+        if( node.gone || node.replaced || restarted || !node.engineReachable ) {
             co_return true;
         }
         co_await net::pause( m_context, openConnectionWait );
@@ -136,7 +136,7 @@
     std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> evidenceByHolder;
     std::vector<decide::Quarantine> own;
     for( const auto& it : runs ) {
-        if( const auto quarantine = m_book.note( it, upstreamId, now ) ) {
+        if( const auto quarantine = m_poisonCounter.note( it, upstreamId, now ) ) {
             own.push_back( *quarantine );
         }
         for( const auto& holder : evidenceHolders( it.fingerprint, now ) ) {
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -54,11 +54,11 @@
     net::asio::io_context& m_context;
     Fleet& m_fleet;
     metrics::Metrics& m_metrics;
-    decide::PoisonCounter m_book; //!< evidence of this gateway alone
+    decide::PoisonCounter m_poisonCounter; //!< evidence of this gateway alone
     decide::QuarantineList m_quarantines;
     decide::CompletedRuns m_completedRuns;
-    std::map<std::string, std::vector<decide::InterruptedRun>>
-        m_brokenRuns; //!< by upstream, while it is being checked
+    //! Runs whose upstream is still being checked, by upstream.
+    std::map<std::string, std::vector<decide::InterruptedRun>> m_brokenRuns;
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/selection.cpp
+++ b/src/gateway/selection.cpp
@@ -35,7 +35,7 @@
 
 void estimateUnseenLoads( std::span<Candidate> candidates ) {
     double backlogMs = 0;
-    int seen = 0;
+    int seenCandidates = 0;
     Candidate* preferred = nullptr;
     for( auto& it : candidates ) {
         if( !it.holds || it.avoided ) {
@@ -43,7 +43,7 @@
         }
         if( it.seen ) {
             backlogMs += it.backlogMs;
-            ++seen;
+            ++seenCandidates;
         }
         if( preferred == nullptr || it.affinity > preferred->affinity ) {
             preferred = &it;
@@ -54,7 +54,7 @@
         preferred->uncachedTokens =
             std::min( preferred->uncachedTokens, preferred->unsharedTokens );
     }
-    const double meanBacklogMs = seen > 0 ? backlogMs / seen : 0;
+    const double meanBacklogMs = seenCandidates > 0 ? backlogMs / seenCandidates : 0;
     for( auto& it : candidates ) {
         if( !it.seen ) {
             it.backlogMs = std::max( it.backlogMs, meanBacklogMs );
