--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -30,7 +30,7 @@
 
 void LimitClient::tick( MonoTime now ) {
     refreshHolders( now );
-    if( !m_limits.idle() && now - m_updatesSentAt >= updateInterval ) {
+    if( !m_gatewayLimits.idle() && now - m_updatesSentAt >= updateInterval ) {
         sendUpdates( now );
     }
 }
@@ -44,14 +44,14 @@
             statements.emplace( startIdOf( node ), std::move( statement ) );
         }
     }
-    m_limits.setStatements( std::move( statements ) );
-    if( m_limits.idle() ) {
+    m_gatewayLimits.setStatements( std::move( statements ) );
+    if( m_gatewayLimits.idle() ) {
         return;
     }
     m_links.refresh( now );
-    if( m_limits.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
+    if( m_gatewayLimits.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "limit_holders_changed",
-                   { { "limits", static_cast<std::int64_t>( m_limits.size() ) },
+                   { { "limits", static_cast<std::int64_t>( m_gatewayLimits.size() ) },
                      { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
         sendUpdates( now );
@@ -64,7 +64,7 @@
         if( !link->mayBeResponsive( now ) ) {
             continue;
         }
-        auto update = m_limits.takeUpdate( address, now );
+        auto update = m_gatewayLimits.takeUpdate( address, now );
         if( update ) {
             update->gateway = m_vm;
             link->send( Message( std::move( *update ) ) );
@@ -90,11 +90,11 @@
 net::Task<decide::LimitDecision> LimitClient::obtain( NodePtr node ) {
     const auto askedAt = MonoClock::now();
     const auto startId = startIdOf( *node );
-    if( !m_limits.knows( startId ) ) {
+    if( !m_gatewayLimits.knows( startId ) ) {
         refreshHolders( askedAt );
         sendUpdates( askedAt );
     }
-    const auto link = m_links.find( m_limits.holderOf( startId, askedAt ) );
+    const auto link = m_links.find( m_gatewayLimits.holderOf( startId, askedAt ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
         decide::LimitRequest request;
@@ -109,7 +109,7 @@
 
 void LimitClient::refund( const Node& node ) {
     const auto startId = startIdOf( node );
-    const auto link = m_links.find( m_limits.holderOf( startId, MonoClock::now() ) );
+    const auto link = m_links.find( m_gatewayLimits.holderOf( startId, MonoClock::now() ) );
     if( link ) {
         link->send( Message( decide::LimitReturn{ startId } ) );
     }
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -35,7 +35,7 @@
     metrics::Metrics& m_metrics;
     std::string m_vm;
     HolderLinks m_links;
-    decide::GatewayLimits m_limits;
+    decide::GatewayLimits m_gatewayLimits;
     MonoTime m_updatesSentAt;
 };
 
--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -147,11 +147,11 @@
 struct EngineReport {
     StartTime born = 0;
     std::vector<Resident> residents;
-    std::vector<std::string> loadingAdapters; //!< adapters that are being loaded: MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
-    bool orderInProgress = false; //!< an order is in progress
-    std::uint64_t sequence = 0;   //!< number of orders accepted
+    bool orderInProgress = false;
+    std::uint64_t sequence = 0; //!< number of orders accepted
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling =
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -34,7 +34,7 @@
     }
 
     //! Records that a request's connection to an upstream broke; `weight` is from
-    //! decide::weightOf().
+    //! decide::evidenceWeight().
     void noteBrokenRun( const NodePtr& node, decide::Fingerprint fingerprint, double weight );
     //! Records that a request has run to completion.
     void noteCompletedRun( decide::Fingerprint fingerprint );
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -23,11 +23,11 @@
 
 QuotaClient::QuotaClient( net::asio::io_context& context, Fleet& fleet, std::string vm,
                           const platform::Bounds& bounds )
-    : m_context( context ), m_vm( std::move( vm ) ), m_quotas( platform::quotaRule( bounds ) ),
-      m_links( fleet, bounds.quotaWindow ) {}
+    : m_context( context ), m_vm( std::move( vm ) ),
+      m_gatewayQuotas( platform::quotaRule( bounds ) ), m_links( fleet, bounds.quotaWindow ) {}
 
 void QuotaClient::setBounds( const platform::Bounds& bounds ) {
-    m_quotas.setRule( platform::quotaRule( bounds ) );
+    m_gatewayQuotas.setRule( platform::quotaRule( bounds ) );
     m_links.setHold( bounds.quotaWindow );
 }
 
@@ -39,7 +39,7 @@
         }
     }
     m_anyLimit = !rates.empty();
-    m_quotas.setRates( configuration.version, rates );
+    m_gatewayQuotas.setRates( configuration.version, rates );
     m_updatesSentAt = MonoTime{};
 }
 
@@ -48,7 +48,7 @@
         return;
     }
     refreshHolders( now );
-    for( const auto& it : m_quotas.takeUnused( now ) ) {
+    for( const auto& it : m_gatewayQuotas.takeUnused( now ) ) {
         const auto link = m_links.find( it.holder );
         if( link ) {
             link->send( Message( it.back ) );
@@ -61,7 +61,7 @@
 
 void QuotaClient::refreshHolders( MonoTime now ) {
     m_links.refresh( now );
-    if( m_quotas.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
+    if( m_gatewayQuotas.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "quota_holders_changed",
                    { { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
@@ -72,7 +72,7 @@
 void QuotaClient::sendUpdates( MonoTime now ) {
     m_updatesSentAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
-        auto update = m_quotas.updateFor( ip );
+        auto update = m_gatewayQuotas.updateFor( ip );
         const bool updateNeeded = !update.rates.empty() || m_updatedHolders.contains( ip );
         if( !updateNeeded || !link->mayBeResponsive( now ) ) {
             continue;
@@ -84,21 +84,21 @@
         }
         update.gateway = m_vm;
         link->send( Message( std::move( update ) ) );
-        m_quotas.noteUpdateSent( ip, now );
+        m_gatewayQuotas.noteUpdateSent( ip, now );
     }
 }
 
 net::Task<std::optional<QuotaDecision>> QuotaClient::queryHolder( std::string organisation,
                                                                   double units, MonoTime until ) {
     const auto askedAt = MonoClock::now();
-    const auto holder = m_links.find( m_quotas.holderOf( organisation, askedAt ) );
+    const auto holder = m_links.find( m_gatewayQuotas.holderOf( organisation, askedAt ) );
     if( !holder ) {
         co_return std::nullopt;
     }
     decide::QuotaRequest request;
     request.organisation = organisation;
     request.needed = units;
-    request.preferred = m_quotas.amountToRequest( organisation, units, askedAt );
+    request.preferred = m_gatewayQuotas.amountToRequest( organisation, units, askedAt );
     request.maxWaitMs = remaining( askedAt, until ).count();
     const auto answer = co_await holder->requestQuota( std::move( request ), queryTimeout );
     if( !answer || !answer->known ) {
@@ -108,7 +108,7 @@
         const auto after = std::max( Millis( answer->waitMs ), minRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
-    m_quotas.addGrant( organisation, answer->granted - units, askedAt );
+    m_gatewayQuotas.addGrant( organisation, answer->granted - units, askedAt );
     if( answer->waitMs > 0 ) {
         co_await net::pause( m_context, Millis( answer->waitMs ) );
     }
@@ -119,7 +119,7 @@
                                               Millis timeout ) {
     auto now = MonoClock::now();
     const auto until = now + timeout;
-    if( m_quotas.spend( organisation, units, now ) ) {
+    if( m_gatewayQuotas.spend( organisation, units, now ) ) {
         co_return QuotaDecision{};
     }
     for( ;; ) {
@@ -129,7 +129,7 @@
             co_return *decision;
         }
         now = MonoClock::now();
-        if( m_quotas.spendReserve( organisation, units, now ) ) {
+        if( m_gatewayQuotas.spendReserve( organisation, units, now ) ) {
             co_return QuotaDecision{};
         }
         if( now + retryInterval >= until ) {
@@ -141,7 +141,7 @@
 
 void QuotaClient::refund( const std::string& organisation, double units ) {
     const auto now = MonoClock::now();
-    const auto link = m_links.find( m_quotas.holderOf( organisation, now ) );
+    const auto link = m_links.find( m_gatewayQuotas.holderOf( organisation, now ) );
     if( link ) {
         link->send( Message( decide::QuotaReturn{ organisation, units } ) );
     }
--- a/src/gateway/quota_client.hpp
+++ b/src/gateway/quota_client.hpp
@@ -49,7 +49,7 @@
 
     net::asio::io_context& m_context;
     std::string m_vm;
-    decide::GatewayQuotas m_quotas;
+    decide::GatewayQuotas m_gatewayQuotas;
     HolderLinks m_links;
     std::set<std::string> m_updatedHolders; //!< addresses of the holders that count this gateway
     MonoTime m_updatesSentAt;
--- a/src/gateway/reading_budget.hpp
+++ b/src/gateway/reading_budget.hpp
@@ -11,8 +11,8 @@
  * pieces between the steps of running streams. If it reads without interruption for about the
  * streams' gap target, every stream there pauses too long: under load this affects more than a
  * quarter of all streams, half of them by less than 90 ms. The budget admits a burst and after that
- * a share of the engine's time, so that steps without reading come in between. The value lost to
- * late events falls under light load too.
+ * a share of the engine's time, so that steps without reading come in between. It reduces
+ * the value lost to late events under light load too.
  */
 class ReadingBudget {
 public:
