--- a/tests/unit/limit.tests.cpp
+++ b/tests/unit/limit.tests.cpp
@@ -308,7 +308,7 @@
     f.holder().hear( asks, 1, start );
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
-    CHECK( choice.rest == 500ms );
+    CHECK( choice.unavailableFor == 500ms );
     CHECK_FALSE( choice.atLimit );
 }
 
@@ -322,5 +322,5 @@
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
     CHECK( choice.atLimit );
-    CHECK( choice.rest == 700ms );
+    CHECK( choice.unavailableFor == 700ms );
 }
