--- a/src/gateway/client_timeouts.cpp
+++ b/src/gateway/client_timeouts.cpp
@@ -19,7 +19,8 @@
 
 //! A request that arrives before the configuration waits for it this long. A starting process has
 //! the configuration after 20 to 90 ms if the store answers. If such requests were refused with a
-//! Retry-After of two seconds, clients would retry when their deadline is nearly over.
+//! Retry-After of two seconds, clients would retry when their deadline is nearly over, for example
+//! after a loss of power.
 constexpr Millis startupRequestWait{ 500 };
 //! A process that has no configuration this long after its start cannot reach the store and refuses
 //! requests at once. On VMs with the narrowest links a large configuration takes 0.3 s to arrive.
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -184,7 +184,9 @@
     std::map<std::string, int> m_copies;    //!< holders of each model at the last tick
     decide::Evacuations m_evacuations;
     ModelPace m_pace;
-    StoreGrants m_grants; //!< the rate counts when loads start: window plus lifetime
+    //! Kept for the rate's window plus a grant's lifetime, because the rate counts when loads
+    //! start.
+    StoreGrants m_grants;
     StoreUpdateHandler m_onStoreUpdate;
     QuarantineUpdateHandler m_onQuarantineUpdate;
     LimitUpdateHandler m_onLimitUpdate;
