--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-//! Gateways assumed until a sidecar says how many there are.
+//! Number of gateways assumed until a sidecar reports it.
 constexpr int assumedGateways = 8;
 
-std::string_view whereOf( Distance distance ) {
+std::string_view distanceLabel( Distance distance ) {
     if( distance.otherRegion ) {
         return "other_region";
     }
@@ -58,13 +58,13 @@
 }
 
 EncodedSpecPtr Fleet::specOf( const Service& service ) {
-    auto& known = m_specs[service.name];
-    if( known.engine != service.engine ) {
-        const bool same = known.engine && *known.engine == *service.engine;
-        known.engine = service.engine;
-        known.text = same ? known.text : encodeSpec( *service.engine );
+    auto& cached = m_specs[service.name];
+    if( cached.engine != service.engine ) {
+        const bool unchanged = cached.engine && *cached.engine == *service.engine;
+        cached.engine = service.engine;
+        cached.text = unchanged ? cached.text : encodeSpec( *service.engine );
     }
-    return known.text;
+    return cached.text;
 }
 
 void Fleet::setEngine( Node& node ) {
@@ -76,12 +76,12 @@
     }
     const auto gapTarget = m_table ? m_table->gapTarget( node.upstream.service ) : Millis{ 0 };
     const auto spec = engine ? specOf( *service ) : nullptr;
-    const bool same = node.engine && spec && node.specSentToSidecar == spec &&
-                      node.gapTarget == gapTarget && node.sidecar &&
-                      node.bornSentToSidecar == node.upstream.born;
+    const bool unchanged = node.engine && spec && node.specSentToSidecar == spec &&
+                           node.gapTarget == gapTarget && node.sidecar &&
+                           node.bornSentToSidecar == node.upstream.born;
     node.engine = engine;
-    if( same ) {
-        // Most configurations change routes only: sidecars need not hear of them.
+    if( unchanged ) {
+        // Most configuration changes concern only routes, which sidecars do not need.
         return;
     }
     node.gapTarget = gapTarget;
@@ -92,30 +92,30 @@
     node.prefixes.setCapacity( node.engine->cacheTokens );
     if( !node.sidecar ) {
         node.sidecar = linkTo( node.upstream );
-        node.sidecar->setTraffic( { m_settings.metrics, whereOf( distanceTo( node ) ) } );
+        node.sidecar->setTraffic( { m_settings.metrics, distanceLabel( distanceTo( node ) ) } );
         node.sidecar->setHandlers( sidecarHandlers( node.upstream.id ) );
     }
-    EngineUpdate news;
-    news.gateway = m_settings.vm;
-    news.configVersion = m_table->configuration().version;
-    news.upstreamId = node.upstream.id;
-    news.born = node.upstream.born;
+    EngineUpdate update;
+    update.gateway = m_settings.vm;
+    update.configVersion = m_table->configuration().version;
+    update.upstreamId = node.upstream.id;
+    update.born = node.upstream.born;
     node.bornSentToSidecar = node.upstream.born;
     node.specSentToSidecar = spec;
-    news.gapTargetMs = gapTarget.count();
-    node.sidecar->announceEngine( std::move( news ), spec );
+    update.gapTargetMs = gapTarget.count();
+    node.sidecar->announceEngine( std::move( update ), spec );
 }
 
 void Fleet::adopt( std::shared_ptr<SidecarLink> link ) {
-    if( m_early ) {
-        m_early->stop();
+    if( m_unusedLink ) {
+        m_unusedLink->stop();
     }
-    m_early = std::move( link );
+    m_unusedLink = std::move( link );
 }
 
 std::shared_ptr<SidecarLink> Fleet::linkTo( const Upstream& upstream ) {
-    if( m_early && m_early->ip() == upstream.ip ) {
-        return std::exchange( m_early, nullptr );
+    if( m_unusedLink && m_unusedLink->ip() == upstream.ip ) {
+        return std::exchange( m_unusedLink, nullptr );
     }
     return std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.sidecarPort );
 }
@@ -141,19 +141,19 @@
             takeLoad( *node, load );
         }
     };
-    out.quarantines = [this]( const decide::QuarantineUpdate& news ) {
-        if( m_onQuarantines ) {
-            m_onQuarantines( news );
+    out.quarantines = [this]( const decide::QuarantineUpdate& update ) {
+        if( m_onQuarantineUpdate ) {
+            m_onQuarantineUpdate( update );
         }
     };
-    out.limits = [this]( const decide::LimitUpdate& news ) {
-        if( m_onLimits ) {
-            m_onLimits( news );
+    out.limits = [this]( const decide::LimitUpdate& update ) {
+        if( m_onLimitUpdate ) {
+            m_onLimitUpdate( update );
         }
     };
-    out.news = [this, id]( const StoreUpdate& news ) {
-        if( m_onStoreNews ) {
-            m_onStoreNews( id, news );
+    out.news = [this, id]( const StoreUpdate& update ) {
+        if( m_onStoreUpdate ) {
+            m_onStoreUpdate( id, update );
         }
     };
     return out;
@@ -173,16 +173,16 @@
     }
     const auto now = MonoClock::now();
     node.takeReport( report, now );
-    countGateways( node, report.load.gateways, now );
+    noteGatewayCount( node, report.load.gateways, now );
 }
 
 void Fleet::takeLoad( Node& node, const EngineLoad& load ) {
     const auto now = MonoClock::now();
     node.takeLoad( load, now );
-    countGateways( node, load.gateways, now );
+    noteGatewayCount( node, load.gateways, now );
 }
 
-void Fleet::countGateways( const Node& node, int seen, MonoTime now ) {
+void Fleet::noteGatewayCount( const Node& node, int seen, MonoTime now ) {
     if( m_gateways.note( seen, now ) ) {
         log::info( "gateways_counted", { { "gateways", m_gateways.count() },
                                          { "upstream", node.upstream.id },
@@ -199,7 +199,7 @@
 }
 
 bool Fleet::mayUseStore( const Node& node, const std::string& model, MonoTime now ) {
-    // A process that has just started does not know what was allowed before.
+    // A process that has just started does not know which loads were permitted before.
     if( now - m_started < m_settings.ceilingWindow ) {
         return false;
     }
@@ -219,9 +219,9 @@
     return out;
 }
 
-void Fleet::handBack( const Node& node, const EnsureAnswer& leave ) {
+void Fleet::returnPermit( const Node& node, const EnsureAnswer& permit ) {
     if( node.sidecar ) {
-        node.sidecar->cancel( leave.number );
+        node.sidecar->cancel( permit.number );
     }
 }
 
@@ -234,25 +234,28 @@
     request.upstreamId = node->upstream.id;
     request.coldMs = node->cold.left( now ).count();
     request.coldPerS = node->coldPerS;
-    const bool near = node->holdsModel( request.model, now ) || hasWeights( *node, request.model );
-    request.fromStore = !near && node->engine && mayUseStore( *node, request.model, now );
-    const bool loads = !node->holdsModel( request.model, now ) && ( near || request.fromStore );
+    const bool weightsAvailable =
+        node->holdsModel( request.model, now ) || hasLocalWeights( *node, request.model );
+    request.fromStore =
+        !weightsAvailable && node->engine && mayUseStore( *node, request.model, now );
+    const bool needsLoad =
+        !node->holdsModel( request.model, now ) && ( weightsAvailable || request.fromStore );
     const std::string name = request.model;
-    const bool granted = request.fromStore;
-    const bool held = node->holdsModel( name, now );
-    const bool first = loads && node->loading.emplace( name, now ).second;
+    const bool storeGranted = request.fromStore;
+    const bool heldAtStart = node->holdsModel( name, now );
+    const bool recordsLoad = needsLoad && node->loading.emplace( name, now ).second;
     const auto answer = co_await link->ensure( std::move( request ) );
-    if( first ) {
+    if( recordsLoad ) {
         node->loading.erase( name );
     }
-    if( granted && answer.outcome == EnsureOutcome::needsWeightStore ) {
-        // Its engine was busy until the grant was too old.
+    if( storeGranted && answer.outcome == EnsureOutcome::needsWeightStore ) {
+        // The engine was busy until the grant expired.
         m_grants.release( node->upstream.id, name );
     }
     const auto answered = MonoClock::now();
     node->takeReadingWait( static_cast<double>( answer.waitMs ), answered );
     const auto demand = m_demand.find( name );
-    if( held && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
+    if( heldAtStart && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
         demand->second.fleet.workPerS = answer.modelWorkPerS;
         demand->second.fleet.reportedAt = answered;
     }
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Which upstream a request goes to.
+// Chooses the upstream for a request.
 #include "gateway/fleet.hpp"
 
 #include <algorithm>
@@ -15,24 +15,24 @@
 Distance Fleet::distanceTo( const Node& node ) const {
     const auto own = m_settings.regions.find( m_settings.hall );
     const auto region = regionOf( node );
-    const bool known = own != m_settings.regions.end() && !region.empty();
-    return { node.upstream.hall != m_settings.hall, known && region != own->second };
+    const bool regionsKnown = own != m_settings.regions.end() && !region.empty();
+    return { node.upstream.hall != m_settings.hall, regionsKnown && region != own->second };
 }
 
 bool Fleet::mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const {
     if( node.upstream.service != need.service || !node.takesRequests( now ) ) {
         return false;
     }
-    const bool anywhere =
+    const bool unrestricted =
         need.allowedRegions.route.empty() && need.allowedRegions.organisation.empty();
-    return anywhere || decide::mayServe( need.allowedRegions, regionOf( node ) );
+    return unrestricted || decide::mayServe( need.allowedRegions, regionOf( node ) );
 }
 
-Fleet::Rest Fleet::restOf( const Node& node, MonoTime now ) {
-    Rest out;
+Fleet::Unavailability Fleet::unavailabilityOf( const Node& node, MonoTime now ) {
+    Unavailability out;
     const auto backoff = node.announced.backoffLeft( now );
-    out.full = node.limit.fullLeft( now ).count() > 0;
-    out.time = out.full ? std::max( backoff, node.limit.retryLeft( now ) ) : backoff;
+    out.atLimit = node.limit.fullLeft( now ).count() > 0;
+    out.timeLeft = out.atLimit ? std::max( backoff, node.limit.retryLeft( now ) ) : backoff;
     return out;
 }
 
@@ -40,13 +40,13 @@
                       MonoTime now ) const {
     std::vector<Candidate> candidates;
     std::vector<NodePtr> nodes;
-    // Those that would have to load the model first.
-    std::vector<NodePtr> others;
-    // When the first that has what it needs takes requests again, those that turned this one away
-    // among them.
-    std::optional<Millis> soonest;
-    std::optional<Millis> soonestBackoff;
-    const auto consider = [&]( const NodePtr& node ) {
+    // Nodes that would have to load the model first.
+    std::vector<NodePtr> loadCandidates;
+    // Time until the first node that holds the model takes requests again, including nodes that
+    // have already refused this request.
+    std::optional<Millis> shortestWait;
+    std::optional<Millis> shortestBackoff;
+    const auto addCandidate = [&]( const NodePtr& node ) {
         candidates.push_back( estimate( *node, need, m_pace, distanceTo( *node ), now ) );
         nodes.push_back( node );
     };
@@ -56,14 +56,14 @@
         }
         const bool holds =
             need.generation == nullptr || node->holdsModel( need.generation->model, now );
-        const auto unavailableFor = restOf( *node, now );
-        if( unavailableFor.time.count() > 0 || unavailableFor.full ) {
+        const auto wait = unavailabilityOf( *node, now );
+        if( wait.timeLeft.count() > 0 || wait.atLimit ) {
             if( holds ) {
-                soonest = std::min( soonest.value_or( unavailableFor.time ), unavailableFor.time );
+                shortestWait = std::min( shortestWait.value_or( wait.timeLeft ), wait.timeLeft );
             }
-            if( holds && !unavailableFor.full ) {
-                soonestBackoff =
-                    std::min( soonestBackoff.value_or( unavailableFor.time ), unavailableFor.time );
+            if( holds && !wait.atLimit ) {
+                shortestBackoff =
+                    std::min( shortestBackoff.value_or( wait.timeLeft ), wait.timeLeft );
             }
             continue;
         }
@@ -71,32 +71,35 @@
             continue;
         }
         if( holds || node->loading.contains( need.generation->model ) ) {
-            consider( node );
+            addCandidate( node );
         } else {
-            others.push_back( node );
+            loadCandidates.push_back( node );
         }
     }
     estimateUnseenLoads( candidates );
     auto best = gateway::choose( candidates );
-    // A load costs more than most waits: the many that do not hold the model are looked at only
-    // where none that does is good enough.
-    const bool good = best && !candidates[*best].avoided && need.generation != nullptr &&
-                      beatsAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
-    if( !good && !others.empty() ) {
-        std::for_each( others.begin(), others.end(), consider );
+    // A load costs more than most waits. The many nodes that do not hold the model are considered
+    // only if no node that holds it is cheaper than any load.
+    const bool goodEnough =
+        best && !candidates[*best].avoided && need.generation != nullptr &&
+        cheaperThanAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
+    if( !goodEnough && !loadCandidates.empty() ) {
+        std::for_each( loadCandidates.begin(), loadCandidates.end(), addCandidate );
         estimateUnseenLoads( candidates );
         best = gateway::choose( candidates );
     }
-    // A load elsewhere that takes longer than a back-off would only push another model out. A limit
-    // may last: what it leaves no room for is served elsewhere, loaded first if need be.
-    const bool backoffIsNearer =
-        soonestBackoff && best &&
-        candidates[*best].loadMs > static_cast<double>( soonestBackoff->count() );
+    // If a load elsewhere takes longer than a back-off, waiting is better: the load would only
+    // evict another model. A limit may last, so requests beyond it are served elsewhere, after a
+    // load if necessary.
+    const bool backoffIsShorter =
+        shortestBackoff && best &&
+        candidates[*best].loadMs > static_cast<double>( shortestBackoff->count() );
     Choice out;
     out.candidates = candidates.size();
-    if( !best || backoffIsNearer ) {
-        out.unavailableFor = ( backoffIsNearer ? soonestBackoff : soonest ).value_or( Millis{ 0 } );
-        out.atLimit = soonest && soonest != soonestBackoff && !backoffIsNearer;
+    if( !best || backoffIsShorter ) {
+        out.unavailableFor =
+            ( backoffIsShorter ? shortestBackoff : shortestWait ).value_or( Millis{ 0 } );
+        out.atLimit = shortestWait && shortestWait != shortestBackoff && !backoffIsShorter;
         return out;
     }
     const auto& it = candidates[*best];
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -7,76 +7,78 @@
 
 namespace {
 
-//! Holders are told this often what is kept there: twice within a membership, and some delay.
-constexpr Millis tellEvery{ 400 };
-//! A holder answers within some milliseconds; one that does not is busy or gone.
-constexpr Millis askTime{ 150 };
-//! The largest count of gateways seen within this time counts.
-constexpr Millis gatewaysHold{ 4000 };
+//! Interval of updates to holders: two updates and some delay fit into the time for which a holder
+//! counts this gateway.
+constexpr Millis updateInterval{ 400 };
+//! A holder answers within a few milliseconds; one that does not is overloaded or gone.
+constexpr Millis queryTimeout{ 150 };
+//! The number of gateways is the largest one reported within this time.
+constexpr Millis gatewayCountHold{ 4000 };
 
-//! Between an upstream's id and when its start began.
-constexpr char startMark = '#';
+//! Separates an upstream's id from its start time.
+constexpr char startSeparator = '#';
 
-std::string startOf( const Node& node ) {
-    return node.upstream.id + startMark + std::to_string( node.upstream.born );
+std::string startIdOf( const Node& node ) {
+    return node.upstream.id + startSeparator + std::to_string( node.upstream.born );
 }
 
 } // namespace
 
 LimitClient::LimitClient( Fleet& fleet, metrics::Metrics& metrics, std::string vm )
     : m_fleet( fleet ), m_metrics( metrics ), m_vm( std::move( vm ) ),
-      m_links( fleet, gatewaysHold ) {}
+      m_links( fleet, gatewayCountHold ) {}
 
 void LimitClient::tick( MonoTime now ) {
-    look( now );
-    if( !m_book.idle() && now - m_toldAt >= tellEvery ) {
-        tell( now );
+    refreshHolders( now );
+    if( !m_gatewayLimits.idle() && now - m_updatesSentAt >= updateInterval ) {
+        sendUpdates( now );
     }
 }
 
-void LimitClient::look( MonoTime now ) {
+void LimitClient::refreshHolders( MonoTime now ) {
     decide::GatewayLimits::Statements statements;
     for( const auto& it : m_fleet.nodes() ) {
         const Node& node = *it.second;
         if( decide::isReportable( node.limit.known, now ) ) {
-            auto statement = decide::statementOf( startOf( node ), node.limit.known, now );
-            statements.emplace( startOf( node ), std::move( statement ) );
+            auto statement = decide::statementOf( startIdOf( node ), node.limit.known, now );
+            statements.emplace( startIdOf( node ), std::move( statement ) );
         }
     }
-    m_book.setStatements( std::move( statements ) );
-    if( m_book.idle() ) {
+    m_gatewayLimits.setStatements( std::move( statements ) );
+    if( m_gatewayLimits.idle() ) {
         return;
     }
-    m_links.look( now );
-    if( m_book.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
+    m_links.refresh( now );
+    if( m_gatewayLimits.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "limit_holders_changed",
-                   { { "limits", static_cast<std::int64_t>( m_book.size() ) },
+                   { { "limits", static_cast<std::int64_t>( m_gatewayLimits.size() ) },
                      { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
-        tell( now );
+        sendUpdates( now );
     }
 }
 
-void LimitClient::tell( MonoTime now ) {
-    m_toldAt = now;
+void LimitClient::sendUpdates( MonoTime now ) {
+    m_updatesSentAt = now;
     for( const auto& [address, link] : m_links.all() ) {
         if( !link->mayBeResponsive( now ) ) {
             continue;
         }
-        auto news = m_book.takeUpdate( address, now );
-        if( news ) {
-            news->gateway = m_vm;
-            link->send( Message( std::move( *news ) ) );
+        auto update = m_gatewayLimits.takeUpdate( address, now );
+        if( update ) {
+            update->gateway = m_vm;
+            link->send( Message( std::move( *update ) ) );
         }
     }
 }
 
-void LimitClient::applyUpdate( const decide::LimitUpdate& news, MonoTime now ) {
-    for( const auto& statement : news.statements ) {
-        const auto id = statement.start.substr( 0, statement.start.rfind( startMark ) );
+void LimitClient::applyUpdate( const decide::LimitUpdate& update, MonoTime now ) {
+    for( const auto& statement : update.statements ) {
+        const auto id = statement.start.substr( 0, statement.start.rfind( startSeparator ) );
         const auto it = m_fleet.nodes().find( id );
-        const bool known = it != m_fleet.nodes().end() && startOf( *it->second ) == statement.start;
-        if( known && decide::applyStatement( it->second->limit.known, statement, now ) ) {
+        const bool isKnownStart =
+            it != m_fleet.nodes().end() && startIdOf( *it->second ) == statement.start;
+        if( isKnownStart && decide::applyStatement( it->second->limit.known, statement, now ) ) {
             const auto perS = it->second->limit.known.perS();
             log::info(
                 "upstream_limit_told",
@@ -86,30 +88,30 @@
 }
 
 net::Task<decide::LimitDecision> LimitClient::obtain( NodePtr node ) {
-    const auto asked = MonoClock::now();
-    const auto start = startOf( *node );
-    if( !m_book.knows( start ) ) {
-        look( asked );
-        tell( asked );
+    const auto askedAt = MonoClock::now();
+    const auto startId = startIdOf( *node );
+    if( !m_gatewayLimits.knows( startId ) ) {
+        refreshHolders( askedAt );
+        sendUpdates( askedAt );
     }
-    const auto link = m_links.find( m_book.holderOf( start, asked ) );
+    const auto link = m_links.find( m_gatewayLimits.holderOf( startId, askedAt ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
-        decide::LimitRequest question;
-        question.statement = decide::statementOf( start, node->limit.known, asked );
-        answer = co_await link->requestLimitPermit( std::move( question ), askTime );
+        decide::LimitRequest request;
+        request.statement = decide::statementOf( startId, node->limit.known, askedAt );
+        answer = co_await link->requestLimitPermit( std::move( request ), queryTimeout );
     }
-    const auto decision = decide::applyLimitAnswer( node->limit, answer, m_fleet.gateways(), asked,
-                                                    MonoClock::now() );
+    const auto decision = decide::applyLimitAnswer( node->limit, answer, m_fleet.gateways(),
+                                                    askedAt, MonoClock::now() );
     m_metrics.count( "limit_asks", decide::nameOf( decision.outcome ) );
     co_return decision;
 }
 
 void LimitClient::refund( const Node& node ) {
-    const auto start = startOf( node );
-    const auto link = m_links.find( m_book.holderOf( start, MonoClock::now() ) );
+    const auto startId = startIdOf( node );
+    const auto link = m_links.find( m_gatewayLimits.holderOf( startId, MonoClock::now() ) );
     if( link ) {
-        link->send( Message( decide::LimitReturn{ start } ) );
+        link->send( Message( decide::LimitReturn{ startId } ) );
     }
 }
 
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -9,24 +9,25 @@
 
 namespace {
 
-//! Holders are told this often what is obtained there: twice within a membership, and some delay.
-constexpr Millis tellEvery{ 400 };
-//! A holder answers within some milliseconds; one that does not is busy or gone.
-constexpr Millis askLimit{ 150 };
-//! Pause until it is looked again whether somebody can be asked.
-constexpr Millis lookAgain{ 25 };
-//! Refused clients come back no sooner: a connection and a request take some milliseconds.
-constexpr Millis leastRetryAfter{ 50 };
+//! Interval of updates to holders: two updates and some delay fit into the time for which a holder
+//! counts this gateway.
+constexpr Millis updateInterval{ 400 };
+//! A holder answers within a few milliseconds; one that does not is overloaded or gone.
+constexpr Millis queryTimeout{ 150 };
+//! Interval at which it is checked again whether a holder can be asked.
+constexpr Millis retryInterval{ 25 };
+//! Shortest Retry-After of a refusal: a connection and a request take some milliseconds.
+constexpr Millis minRetryAfter{ 50 };
 
 } // namespace
 
 QuotaClient::QuotaClient( net::asio::io_context& context, Fleet& fleet, std::string vm,
                           const platform::Bounds& bounds )
-    : m_context( context ), m_vm( std::move( vm ) ), m_book( platform::quotaRule( bounds ) ),
-      m_links( fleet, bounds.quotaWindow ) {}
+    : m_context( context ), m_vm( std::move( vm ) ),
+      m_gatewayQuotas( platform::quotaRule( bounds ) ), m_links( fleet, bounds.quotaWindow ) {}
 
 void QuotaClient::setBounds( const platform::Bounds& bounds ) {
-    m_book.setRule( platform::quotaRule( bounds ) );
+    m_gatewayQuotas.setRule( platform::quotaRule( bounds ) );
     m_links.setHold( bounds.quotaWindow );
 }
 
@@ -38,76 +39,76 @@
         }
     }
     m_anyLimit = !rates.empty();
-    m_book.setRates( configuration.version, rates );
-    m_toldAt = MonoTime{};
+    m_gatewayQuotas.setRates( configuration.version, rates );
+    m_updatesSentAt = MonoTime{};
 }
 
 void QuotaClient::tick( MonoTime now ) {
     if( !m_anyLimit ) {
         return;
     }
-    lookAtLinks( now );
-    for( const auto& it : m_book.takeUnused( now ) ) {
+    refreshHolders( now );
+    for( const auto& it : m_gatewayQuotas.takeUnused( now ) ) {
         const auto link = m_links.find( it.holder );
         if( link ) {
             link->send( Message( it.back ) );
         }
     }
-    if( now - m_toldAt >= tellEvery ) {
-        tellHolders( now );
+    if( now - m_updatesSentAt >= updateInterval ) {
+        sendUpdates( now );
     }
 }
 
-void QuotaClient::lookAtLinks( MonoTime now ) {
-    m_links.look( now );
-    if( m_book.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
+void QuotaClient::refreshHolders( MonoTime now ) {
+    m_links.refresh( now );
+    if( m_gatewayQuotas.setCandidates( m_links.candidates( now ), m_links.gateways(), now ) ) {
         log::info( "quota_holders_changed",
                    { { "links", static_cast<std::int64_t>( m_links.all().size() ) },
                      { "gateways", m_links.gateways() } } );
-        tellHolders( now );
+        sendUpdates( now );
     }
 }
 
-void QuotaClient::tellHolders( MonoTime now ) {
-    m_toldAt = now;
+void QuotaClient::sendUpdates( MonoTime now ) {
+    m_updatesSentAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
-        auto news = m_book.updateFor( ip );
-        const bool concerns = !news.rates.empty() || m_told.contains( ip );
-        if( !concerns || !link->mayBeResponsive( now ) ) {
+        auto update = m_gatewayQuotas.updateFor( ip );
+        const bool updateNeeded = !update.rates.empty() || m_updatedHolders.contains( ip );
+        if( !updateNeeded || !link->mayBeResponsive( now ) ) {
             continue;
         }
-        if( news.rates.empty() ) {
-            m_told.erase( ip );
+        if( update.rates.empty() ) {
+            m_updatedHolders.erase( ip );
         } else {
-            m_told.insert( ip );
+            m_updatedHolders.insert( ip );
         }
-        news.gateway = m_vm;
-        link->send( Message( std::move( news ) ) );
-        m_book.noteUpdateSent( ip, now );
+        update.gateway = m_vm;
+        link->send( Message( std::move( update ) ) );
+        m_gatewayQuotas.noteUpdateSent( ip, now );
     }
 }
 
-net::Task<std::optional<QuotaDecision>> QuotaClient::ask( std::string organisation, double units,
-                                                          MonoTime until ) {
-    const auto asked = MonoClock::now();
-    const auto holder = m_links.find( m_book.holderOf( organisation, asked ) );
+net::Task<std::optional<QuotaDecision>> QuotaClient::queryHolder( std::string organisation,
+                                                                  double units, MonoTime until ) {
+    const auto askedAt = MonoClock::now();
+    const auto holder = m_links.find( m_gatewayQuotas.holderOf( organisation, askedAt ) );
     if( !holder ) {
         co_return std::nullopt;
     }
-    decide::QuotaRequest question;
-    question.organisation = organisation;
-    question.needed = units;
-    question.preferred = m_book.amountToRequest( organisation, units, asked );
-    question.maxWaitMs = remaining( asked, until ).count();
-    const auto answer = co_await holder->requestQuota( std::move( question ), askLimit );
+    decide::QuotaRequest request;
+    request.organisation = organisation;
+    request.needed = units;
+    request.preferred = m_gatewayQuotas.amountToRequest( organisation, units, askedAt );
+    request.maxWaitMs = remaining( askedAt, until ).count();
+    const auto answer = co_await holder->requestQuota( std::move( request ), queryTimeout );
     if( !answer || !answer->known ) {
         co_return std::nullopt;
     }
     if( answer->granted < units ) {
-        const auto after = std::max( Millis( answer->waitMs ), leastRetryAfter );
+        const auto after = std::max( Millis( answer->waitMs ), minRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
-    m_book.addGrant( organisation, answer->granted - units, asked );
+    m_gatewayQuotas.addGrant( organisation, answer->granted - units, askedAt );
     if( answer->waitMs > 0 ) {
         co_await net::pause( m_context, Millis( answer->waitMs ) );
     }
@@ -115,32 +116,32 @@
 }
 
 net::Task<QuotaDecision> QuotaClient::obtain( std::string organisation, double units,
-                                              Millis patience ) {
+                                              Millis timeout ) {
     auto now = MonoClock::now();
-    const auto until = now + patience;
-    if( m_book.spend( organisation, units, now ) ) {
+    const auto until = now + timeout;
+    if( m_gatewayQuotas.spend( organisation, units, now ) ) {
         co_return QuotaDecision{};
     }
     for( ;; ) {
         std::string name = organisation;
-        const auto decision = co_await ask( std::move( name ), units, until );
+        const auto decision = co_await queryHolder( std::move( name ), units, until );
         if( decision ) {
             co_return *decision;
         }
         now = MonoClock::now();
-        if( m_book.spendReserve( organisation, units, now ) ) {
+        if( m_gatewayQuotas.spendReserve( organisation, units, now ) ) {
             co_return QuotaDecision{};
         }
-        if( now + lookAgain >= until ) {
+        if( now + retryInterval >= until ) {
             co_return QuotaDecision{ QuotaVerdict::unknown, decide::GatewayQuotas::reserveWait() };
         }
-        co_await net::pause( m_context, lookAgain );
+        co_await net::pause( m_context, retryInterval );
     }
 }
 
 void QuotaClient::refund( const std::string& organisation, double units ) {
     const auto now = MonoClock::now();
-    const auto link = m_links.find( m_book.holderOf( organisation, now ) );
+    const auto link = m_links.find( m_gatewayQuotas.holderOf( organisation, now ) );
     if( link ) {
         link->send( Message( decide::QuotaReturn{ organisation, units } ) );
     }
