--- a/src/gateway/access.hpp
+++ b/src/gateway/access.hpp
@@ -7,24 +7,24 @@
 #include <optional>
 #include <string_view>
 
-//! Whether a request may be served, by the key that it carries.
+//! Access control: decides by a request's key whether the request may be served.
 namespace coursehead::gateway {
 
 enum class AccessVerdict {
     allowed,
-    denied,    //!< no organisation has the key, or there is none
-    undecided, //!< the key may belong to a configuration that this gateway has not heard of
+    denied,    //!< the request has no key, or no organisation has this key
+    undecided, //!< the key may belong to a newer configuration that this gateway has not received
 };
 
 struct Access {
     AccessVerdict verdict = AccessVerdict::allowed;
-    const Organisation* organisation = nullptr; //!< null where the route needs no key
+    const Organisation* organisation = nullptr; //!< null where no key is needed
 };
 
 /**
- * Judges a request's key by the configuration in force. `current`: the gateway hears of changes of
- * the configuration. While it does not, a key that it lacks may have been added since: that request
- * is not denied, but told to come back.
+ * Checks a request's key against the configuration in force. `current`: the gateway receives
+ * changes of the configuration. While it does not, an unknown key may have been added since: the
+ * verdict is then `undecided`, and the client is told to retry.
  */
 Access accessOf( const RouteTable& table, const Route& route, const std::optional<KeyDigest>& key,
                  bool current );
--- a/src/gateway/admit.cpp
+++ b/src/gateway/admit.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Whether a request is served at all: configuration, route, key and quota.
+// Admission of a request: checks configuration, route, key and quota.
 #include "gateway/access.hpp"
 #include "gateway/exchange.hpp"
 #include "gateway/status.hpp"
@@ -8,11 +8,13 @@
 
 namespace {
 
-//! Requests that wait so at most: each holds its body in memory.
-constexpr int mostStarting = 200;
-//! A request waits for its organisation's quota up to this part of its goal: the rest is for being
-//! served, and a refusal within it leaves the client the time to come back.
-constexpr int quotaPatienceParts = 5;
+//! Maximum number of requests that wait for the configuration and the upstreams: each holds its
+//! body in memory.
+constexpr int maxWaitingForStart = 200;
+//! A request waits for its organisation's quota for at most its route's goal divided by this. The
+//! rest of the goal remains for serving the request, and an early refusal leaves the client time to
+//! retry.
+constexpr int quotaWaitDivisor = 5;
 
 std::string_view view( boost::beast::string_view text ) {
     return { text.data(), text.size() };
@@ -21,16 +23,16 @@
 } // namespace
 
 net::Task<> Exchange::waitForStart() {
-    if( m_shared.starting >= mostStarting ) {
+    if( m_shared.waitingForStart >= maxWaitingForStart ) {
         co_return;
     }
-    ++m_shared.starting;
+    ++m_shared.waitingForStart;
     const auto until = startWaitEnd( m_request.arrived, m_shared.started );
-    while( ( !m_shared.table || !m_shared.listed ) && !m_client->left &&
+    while( ( !m_shared.table || !m_shared.listed ) && !m_client->disconnected &&
            MonoClock::now() < until ) {
-        co_await net::pause( m_shared.context, startLook );
+        co_await net::pause( m_shared.context, startPollInterval );
     }
-    --m_shared.starting;
+    --m_shared.waitingForStart;
     m_table = m_shared.table;
 }
 
@@ -47,15 +49,15 @@
     const auto hostText =
         host == m_request.fields.end() ? std::string_view{} : view( host->value() );
     m_route = m_table->find( hostText, m_request.target );
-    const auto* split =
+    const auto* chosenSplit =
         m_route == nullptr ? nullptr : pickSplit( *m_route, m_shared.random.unit() );
-    if( split == nullptr ) {
+    if( chosenSplit == nullptr ) {
         std::string reason = "no route";
         co_await answerOwn( statusNotFound, std::move( reason ), Millis{ 0 } );
         logEnd( "no_route" );
         co_return false;
     }
-    m_service = split->service;
+    m_service = chosenSplit->service;
     const auto access = accessOf( *m_table, *m_route, m_request.head.key, m_shared.current );
     m_organisation = access.organisation;
     if( access.verdict != AccessVerdict::allowed ) {
@@ -88,9 +90,9 @@
     if( !limit.limited() || units <= 0 ) {
         co_return true;
     }
-    const auto patience = m_route->goal / quotaPatienceParts;
+    const auto maxWait = m_route->goal / quotaWaitDivisor;
     std::string name = m_organisation->name;
-    const auto decision = co_await m_shared.quota->obtain( std::move( name ), units, patience );
+    const auto decision = co_await m_shared.quota->obtain( std::move( name ), units, maxWait );
     if( decision.verdict == QuotaVerdict::granted ) {
         m_charged = units;
         co_return true;
--- a/src/gateway/client_end.cpp
+++ b/src/gateway/client_end.cpp
@@ -7,14 +7,14 @@
 
 namespace coursehead::gateway {
 
-bool hasLeft( ClientEnd& client ) {
-    if( client.left || !client.socket.is_open() ) {
-        return client.left = true;
+bool checkDisconnected( ClientConnection& client ) {
+    if( client.disconnected || !client.socket.is_open() ) {
+        return client.disconnected = true;
     }
     char byte = 0;
     const auto n = ::recv( client.socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT );
     const bool open = n > 0 || ( n < 0 && ( errno == EAGAIN || errno == EWOULDBLOCK ) );
-    return client.left = !open;
+    return client.disconnected = !open;
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/client_end.hpp
+++ b/src/gateway/client_end.hpp
@@ -8,23 +8,24 @@
 
 namespace coursehead::gateway {
 
-//! The client's side of a request in progress.
-struct ClientEnd {
-    explicit ClientEnd( net::Socket& clientSocket ) : socket( clientSocket ) {}
+//! Client connection of a request in progress.
+struct ClientConnection {
+    explicit ClientConnection( net::Socket& clientSocket ) : socket( clientSocket ) {}
 
     net::Socket& socket;
-    bool left = false;                          //!< the client closed its connection
+    bool disconnected = false;                  //!< the client closed its connection
     bool broken = false;                        //!< a write to it failed
-    bool done = false;                          //!< the request is over
-    std::weak_ptr<UpstreamConnection> upstream; //!< closed when the client leaves
+    bool done = false;                          //!< the request has ended
+    std::weak_ptr<UpstreamConnection> upstream; //!< closed when the client disconnects
 };
 
 /**
- * Looks at the client's socket now, whatever the event loop has still to tell, and notes in `left`
- * when its end has closed. A process that was stopped for seconds finds requests and the closes
- * behind them at once: without the look it sends those requests on, for nobody.
+ * Checks the client's socket directly, without waiting for the event loop, and sets `disconnected`
+ * if the client has closed the connection. After the process was stopped for seconds, requests and
+ * the closes that follow them arrive together: without this check the gateway would send requests
+ * whose clients have already disconnected.
  */
-bool hasLeft( ClientEnd& client );
+bool checkDisconnected( ClientConnection& client );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -13,19 +13,20 @@
 
 namespace {
 
-//! Unacknowledged bytes to a client are given up after this.
-constexpr Millis clientSilence{ 10000 };
-//! Idle limit of a connection while no configuration is known.
-constexpr Millis startIdle{ 15000 };
-
-//! Marks the request's client as gone when its connection closes, and ends the send in progress.
-void watchClient( const std::shared_ptr<ClientEnd>& client ) {
+//! A client connection is dropped when sent bytes stay unacknowledged for this long.
+constexpr Millis clientUnackedTimeout{ 10000 };
+//! Idle timeout of a client connection while no configuration is known.
+constexpr Millis startIdleTimeout{ 15000 };
+
+//! Sets `disconnected` when the client closes its connection, and closes the upstream connection of
+//! the send in progress.
+void watchClient( const std::shared_ptr<ClientConnection>& client ) {
     client->socket.async_wait( net::Socket::wait_read, [client]( net::ErrorCode ec ) {
         if( client->done || ec == net::asio::error::operation_aborted ) {
             return;
         }
-        if( !hasLeft( *client ) ) {
-            return; // a pipelined request; it waits its turn
+        if( !checkDisconnected( *client ) ) {
+            return; // bytes of a pipelined request, which is served after this one
         }
         if( const auto upstream = client->upstream.lock() ) {
             upstream->socket.close( ec );
@@ -50,12 +51,13 @@
     co_await net::asio::async_write( socket, buf, net::tupled );
     net::ErrorCode ec;
     socket.shutdown( net::Socket::shutdown_send, ec );
-    // Unread bytes would turn the close into a reset that may overtake the answer.
+    // Closing a socket with unread bytes sends a reset, which may overtake the answer: the bytes
+    // are read and discarded first.
     constexpr Millis drainTime{ 300 };
     net::SocketDeadline deadline( socket, MonoClock::now() + drainTime );
-    std::string rest( 4096, '\0' );
+    std::string discarded( 4096, '\0' );
     for( ;; ) {
-        const auto space = net::asio::buffer( rest );
+        const auto space = net::asio::buffer( discarded );
         const auto [error, n] = co_await socket.async_read_some( space, net::tupled );
         if( error ) {
             co_return;
@@ -63,10 +65,10 @@
     }
 }
 
-//! What reading a request ended with.
-struct ReadRequest {
-    bool closed = true;   //!< nothing more to serve
-    unsigned refusal = 0; //!< status to refuse with
+//! Result of reading a request.
+struct ReadResult {
+    bool closed = true;   //!< the connection has ended without a further request
+    unsigned refusal = 0; //!< status of the refusal; 0: not refused
     bool keepAlive = true;
     ClientRequest request;
 };
@@ -76,7 +78,7 @@
         return shared.table->configuration().limits;
     }
     ClientLimits out;
-    out.idleTime = startIdle;
+    out.idleTime = startIdleTimeout;
     return out;
 }
 
@@ -90,7 +92,8 @@
     co_return !ec && !deadline.expired();
 }
 
-//! True when the key leads nowhere: a body that nobody will use is not read.
+//! True when the head alone shows that the request is denied for its key: the body is not read
+//! then.
 bool deniedByHead( const Shared& shared, const http::request_header<>& head,
                    const std::optional<KeyDigest>& key ) {
     if( !shared.table ) {
@@ -104,9 +107,9 @@
            accessOf( *shared.table, *route, key, shared.current ).verdict == AccessVerdict::denied;
 }
 
-net::Task<ReadRequest> readRequest( net::Socket& socket, boost::beast::flat_buffer& buf,
-                                    const ClientLimits& limits, const Shared& shared ) {
-    ReadRequest out;
+net::Task<ReadResult> readRequest( net::Socket& socket, boost::beast::flat_buffer& buf,
+                                   const ClientLimits& limits, const Shared& shared ) {
+    ReadResult out;
     const auto arrived = MonoClock::now();
     http::request_parser<http::string_body> parser;
     parser.header_limit( limits.headerBytes );
@@ -132,8 +135,8 @@
     }
     const bool expects = !failure && parser.get().find( http::field::expect ) != parser.get().end();
     if( expects && !parser.is_done() ) {
-        static constexpr std::string_view goOn = "HTTP/1.1 100 Continue\r\n\r\n";
-        const auto bytes = net::asio::buffer( goOn );
+        static constexpr std::string_view continueHead = "HTTP/1.1 100 Continue\r\n\r\n";
+        const auto bytes = net::asio::buffer( continueHead );
         co_await net::asio::async_write( socket, bytes, net::tupled );
     }
     if( !failure && !parser.is_done() ) {
@@ -170,14 +173,14 @@
 } // namespace
 
 net::Task<> serveClient( net::Socket socket, Shared& shared ) {
-    net::tune( socket, clientSilence );
+    net::tune( socket, clientUnackedTimeout );
     boost::beast::flat_buffer buf;
     for( ;; ) {
         const auto limits = limitsOf( shared );
         shared.idleClients.insert( &socket );
-        const bool more = co_await waitForRequest( socket, buf, limits.idleTime );
+        const bool hasRequest = co_await waitForRequest( socket, buf, limits.idleTime );
         shared.idleClients.erase( &socket );
-        if( !more ) {
+        if( !hasRequest ) {
             co_return;
         }
         auto got = co_await readRequest( socket, buf, limits, shared );
@@ -192,14 +195,14 @@
         if( got.closed ) {
             co_return;
         }
-        const auto client = std::make_shared<ClientEnd>( socket );
+        const auto client = std::make_shared<ClientConnection>( socket );
         watchClient( client );
         bool keepAlive = got.keepAlive && !shared.draining;
         {
             auto request = std::move( got.request );
             Exchange exchange( shared, std::move( request ), client, keepAlive );
             const auto result = co_await exchange.run();
-            keepAlive = keepAlive && result.keepAlive && !client->left && !client->broken &&
+            keepAlive = keepAlive && result.keepAlive && !client->disconnected && !client->broken &&
                         !shared.draining;
         }
         client->done = true;
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -6,7 +6,7 @@
 
 namespace coursehead::gateway {
 
-//! Serves the requests of one client connection, one after the other.
+//! Serves the requests of one client connection, one at a time.
 net::Task<> serveClient( net::Socket socket, Shared& shared );
 
 } // namespace coursehead::gateway
--- a/src/gateway/connection_pool.cpp
+++ b/src/gateway/connection_pool.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-//! Idle connections kept to one upstream; more would use up what it accepts from all callers.
-constexpr std::size_t maxIdle = 32;
+//! Idle connections kept to one upstream; more would exhaust the number of connections that the
+//! upstream accepts from all callers.
+constexpr std::size_t maxIdleConnections = 32;
 
-//! True when the peer has neither closed the connection nor sent bytes that belong to no request.
-bool quiet( net::Socket& socket ) {
+//! True if the upstream has neither closed the connection nor sent bytes that belong to no request.
+bool isOpenAndSilent( net::Socket& socket ) {
     char byte = 0;
     const auto n = ::recv( socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT );
     return n < 0 && ( errno == EAGAIN || errno == EWOULDBLOCK );
@@ -25,7 +26,7 @@
     while( !m_idle.empty() ) {
         auto out = std::move( m_idle.back() );
         m_idle.pop_back();
-        if( out->goodUntil > now && quiet( out->socket ) ) {
+        if( out->reusableUntil > now && isOpenAndSilent( out->socket ) ) {
             return out;
         }
     }
@@ -33,7 +34,7 @@
 }
 
 void ConnectionPool::put( ConnectionPtr connection ) {
-    if( m_idle.size() >= maxIdle ) {
+    if( m_idle.size() >= maxIdleConnections ) {
         return;
     }
     connection->reused = true;
--- a/src/gateway/connection_pool.hpp
+++ b/src/gateway/connection_pool.hpp
@@ -11,21 +11,22 @@
 
 namespace coursehead::gateway {
 
-//! A connection to an upstream; serves one request at a time.
+//! A connection to an upstream. It serves one request at a time.
 struct UpstreamConnection {
     explicit UpstreamConnection( net::asio::io_context& context ) : socket( context ) {}
 
     net::Socket socket;
     boost::beast::flat_buffer buf;
-    bool reused = false; //!< it has served a request before
-    MonoTime goodUntil;  //!< not to be used again after this
+    bool reused = false;    //!< the connection has served a request before
+    MonoTime reusableUntil; //!< the connection is not reused after this time
 };
 using ConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
-//! Idle connections to one upstream, the one used last first.
+//! Idle connections to one upstream; the most recently used one is taken first.
 class ConnectionPool {
 public:
-    //! A connection that is still open and has nothing to say; null when there is none.
+    //! Removes and returns a connection that is still open and has no unread bytes; null if there
+    //! is none.
     ConnectionPtr take( MonoTime now );
     void put( ConnectionPtr connection );
     std::size_t idle() const noexcept { return m_idle.size(); }
--- a/src/gateway/event_stream.cpp
+++ b/src/gateway/event_stream.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view eventEnd = "\n\n";
 constexpr std::string_view idField = "id:";
 
-//! The id line of an event, if it has one.
+//! The id of an event; none if the event has no valid id line.
 std::optional<std::uint64_t> idOf( std::string_view event ) {
     while( !event.empty() ) {
         const auto end = event.find( '\n' );
--- a/src/gateway/event_stream.hpp
+++ b/src/gateway/event_stream.hpp
@@ -9,18 +9,18 @@
 
 namespace coursehead::gateway {
 
-//! Cuts a text/event-stream into whole events, and watches that their ids rise one by one.
+//! Splits a text/event-stream into complete events and checks that their ids are consecutive.
 class EventCutter {
 public:
-    //! `last`: the event behind which the stream begins.
+    //! `last`: id of the event before the first one of the stream, if known.
     explicit EventCutter( std::optional<std::uint64_t> last ) : m_last( last ) {}
 
-    //! Takes bytes; appends the whole events among them to `out`. False when an event repeats or
-    //! skips an id: the stream is not to be trusted any further.
+    //! Adds bytes of the stream and appends the events that are complete to `out`. False if an
+    //! event repeats or skips an id: the rest of the stream can't be trusted.
     bool feed( std::string_view bytes, std::string& out );
-    //! Id of the last whole event.
+    //! Id of the last complete event that has one.
     std::optional<std::uint64_t> last() const noexcept { return m_last; }
-    //! True when no part of an event is left over.
+    //! True if no incomplete event is buffered.
     bool atBoundary() const noexcept { return m_partial.empty(); }
 
 private:
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -14,13 +14,15 @@
 
 namespace {
 
-//! Sends of one request that were certainly not run, on top of the route's attempts.
-constexpr int extraSends = 3;
-//! Before a request whose upstream may have ended under it is sent again: whether it was the third
-//! to end so is known by then. Without the pause a fourth ended, in 7 of 9 runs.
+//! Rounds of upstream choice in addition to the route's attempts, for sends that the upstreams
+//! certainly did not run.
+constexpr int extraRounds = 3;
+//! Pause before a request is sent again after its upstream's connection broke. By then it is known
+//! whether this was the third upstream that ended while it ran the request; without the pause the
+//! request went on to end a fourth one.
 constexpr Millis verdictPause{ 25 };
 
-//! The IP number at the other end; empty once the connection is closed.
+//! The peer's IP address; empty once the connection is closed.
 std::string addressOf( const net::Socket& socket ) {
     net::ErrorCode ec;
     const auto end = socket.remote_endpoint( ec );
@@ -29,7 +31,7 @@
 
 } // namespace
 
-Exchange::Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
+Exchange::Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientConnection> client,
                     bool clientKeepsAlive )
     : m_shared( shared ), m_table( shared.table ), m_request( std::move( request ) ),
       m_client( std::move( client ) ), m_keepAlive( clientKeepsAlive ) {
@@ -44,7 +46,7 @@
 }
 
 net::Task<ExchangeResult> Exchange::run() {
-    if( hasLeft( *m_client ) ) {
+    if( checkDisconnected( *m_client ) ) {
         logEnd( "client_left" );
         co_return ExchangeResult{ false };
     }
@@ -61,7 +63,7 @@
     if( !charged ) {
         co_return ExchangeResult{ m_keepAlive };
     }
-    m_patience = patienceOf( *m_route, m_request.head.deadline );
+    m_clientTimeout = patienceOf( *m_route, m_request.head.deadline );
     if( m_request.head.generation ) {
         m_prefix = prefixKeys( *m_request.head.generation );
         m_need.generation = &*m_request.head.generation;
@@ -76,13 +78,13 @@
     m_need.requestBytes = m_request.body.size();
     m_lastEvent = m_request.head.lastEventId;
     co_await forward();
-    if( !m_answered && !m_client->left && !m_client->broken ) {
-        co_await finishFailed();
+    if( !m_answered && !m_client->disconnected && !m_client->broken ) {
+        co_await answerFailure();
     }
     const auto now = MonoClock::now();
     const auto spent = static_cast<double>( millisBetween( m_request.arrived, now ) );
     m_shared.metrics.observe( metrics::Series::request, m_route->name, m_service, spent );
-    logEnd( m_client->left ? "client_left" : m_answered ? "answered" : "cut" );
+    logEnd( m_client->disconnected ? "client_left" : m_answered ? "answered" : "cut" );
     co_return ExchangeResult{ m_keepAlive && m_answered };
 }
 
@@ -101,14 +103,14 @@
 
 net::Task<> Exchange::forward() {
     bool counted = false;
-    for( int round = 0; round < m_route->attempts + extraSends; ++round ) {
+    for( int round = 0; round < m_route->attempts + extraRounds; ++round ) {
         auto now = MonoClock::now();
-        if( hasLeft( *m_client ) || m_shared.sendsEnded || !timeLeft( now ) ) {
+        if( checkDisconnected( *m_client ) || m_shared.sendsStopped || !hasTimeLeft( now ) ) {
             break;
         }
         auto choice = m_shared.fleet.choose( m_need, m_excluded, now );
         if( !choice.node ) {
-            noteNoChoice( choice );
+            noteNoUpstream( choice );
             break;
         }
         auto& retries = m_shared.retries[m_service];
@@ -117,41 +119,43 @@
             retries.countFirst( now );
             m_shared.fleet.countDemand( m_need, choice );
         }
-        // Asked before the sidecar, which would load an adapter for nothing.
-        bool room = co_await obtainRoom( choice );
-        auto next = Next::send;
-        if( room ) {
+        // The limit's permit comes first: a sidecar might load an adapter for a request that the
+        // limit does not allow.
+        bool hasLimitPermit = co_await obtainLimitPermit( choice );
+        auto next = PrepareResult::send;
+        if( hasLimitPermit ) {
             next = co_await prepare( choice );
         }
-        if( next == Next::stop ) {
+        if( next == PrepareResult::giveUp ) {
             break;
         }
-        if( next == Next::again ) {
-            dropLeaves();
+        if( next == PrepareResult::chooseAgain ) {
+            dropPermits();
             --round;
             continue;
         }
-        if( next == Next::elsewhere ) {
-            dropLeaves();
+        if( next == PrepareResult::chooseAnother ) {
+            dropPermits();
             m_excluded.insert( choice.node->upstream.id );
             continue;
         }
-        if( room ) {
-            room = co_await renewRoom( choice );
+        if( hasLimitPermit ) {
+            hasLimitPermit = co_await renewLimitPermit( choice );
         }
-        if( !room ) {
-            // What others take is not known yet: each is asked once.
-            dropLeaves();
+        if( !hasLimitPermit ) {
+            // The load from other gateways is unknown, so this upstream was asked once and is now
+            // excluded. This does not count as a round.
+            dropPermits();
             m_excluded.insert( choice.node->upstream.id );
             --round;
             continue;
         }
         now = MonoClock::now();
-        if( m_client->left || m_shared.sendsEnded || !timeLeft( now ) || !maySend() ) {
+        if( m_client->disconnected || m_shared.sendsStopped || !hasTimeLeft( now ) || !maySend() ) {
             break;
         }
-        if( !choice.node->takesRequestsNow( now ) ) {
-            dropLeaves();
+        if( !choice.node->isAvailable( now ) ) {
+            dropPermits();
             m_excluded.insert( choice.node->upstream.id );
             continue;
         }
@@ -164,9 +168,9 @@
             }
         }
         const auto sent = co_await sendTo( choice.node, choice );
-        dropLeaves();
+        dropPermits();
         if( sent.end == SendEnd::answered || sent.end == SendEnd::streamed ||
-            sent.end == SendEnd::stopped || !mayTryAgain( sent ) ) {
+            sent.end == SendEnd::stopped || !mayRetry( sent ) ) {
             break;
         }
         m_excluded.insert( choice.node->upstream.id );
@@ -174,13 +178,13 @@
             co_await net::pause( m_shared.context, verdictPause );
         }
     }
-    if( m_answer && !m_answered && !m_headSent && !m_client->left ) {
-        const WholeAnswer answer = std::move( *m_answer );
-        co_await answerWhole( answer );
+    if( m_answer && !m_answered && !m_headSent && !m_client->disconnected ) {
+        const BufferedAnswer answer = std::move( *m_answer );
+        co_await sendBufferedAnswer( answer );
     }
 }
 
-void Exchange::noteNoChoice( const Choice& choice ) {
+void Exchange::noteNoUpstream( const Choice& choice ) {
     if( choice.rest.count() > 0 ) {
         m_lastWhy =
             choice.atLimit ? "upstreams are at their limits" : "upstreams asked for a back-off";
@@ -190,8 +194,8 @@
     }
 }
 
-bool Exchange::mayTryAgain( const Sent& sent ) {
-    m_lastWhy = sent.why;
+bool Exchange::mayRetry( const Sent& sent ) {
+    m_lastWhy = sent.failure;
     if( sent.end == SendEnd::notRun ) {
         return true;
     }
@@ -201,7 +205,7 @@
 }
 
 net::Task<bool> Exchange::writeClient( std::string bytes ) {
-    if( m_client->left || m_client->broken ) {
+    if( m_client->disconnected || m_client->broken ) {
         co_return false;
     }
     const auto buf = net::asio::buffer( bytes );
@@ -212,7 +216,7 @@
     co_return !ec;
 }
 
-net::Task<> Exchange::answerWhole( const WholeAnswer& answer ) {
+net::Task<> Exchange::sendBufferedAnswer( const BufferedAnswer& answer ) {
     m_status = answer.status;
     std::string framing = "Content-Length: " + std::to_string( answer.body.size() ) + "\r\n";
     std::string bytes =
@@ -222,9 +226,9 @@
 }
 
 net::Task<> Exchange::answerOwn( unsigned status, std::string reason, Millis retryAfter ) {
-    WholeAnswer answer;
+    BufferedAnswer answer;
     answer.status = status;
-    answer.own = true;
+    answer.madeByGateway = true;
     answer.fields.set( http::field::content_type, "text/plain" );
     if( status == statusUnauthorized ) {
         answer.fields.set( http::field::www_authenticate, keyChallenge );
@@ -238,18 +242,19 @@
                                { "status", static_cast<std::int64_t>( status ) },
                                { "why", reason },
                                { "retry_after_ms", retryAfter.count() } } );
-    co_await answerWhole( answer );
+    co_await sendBufferedAnswer( answer );
 }
 
-net::Task<> Exchange::finishFailed() {
+net::Task<> Exchange::answerFailure() {
     if( m_headSent ) {
-        // Part of a stream is out: only cutting the connection shows that it is not whole.
+        // Part of a stream was written: only closing the connection shows the client that the
+        // stream is incomplete.
         m_keepAlive = false;
         net::ErrorCode ec;
         m_client->socket.close( ec );
         co_return;
     }
-    const bool late = !timeLeft( MonoClock::now() + answerMargin );
+    const bool late = !hasTimeLeft( MonoClock::now() + answerMargin );
     std::string reason = m_lastWhy.empty() ? "out of time" : m_lastWhy;
     if( !m_mayHaveRun ) {
         const auto after = m_retryAfter.count() > 0 ? m_retryAfter : usualRetryAfter;
@@ -262,18 +267,19 @@
 
 void Exchange::logEnd( std::string_view outcome ) const {
     const auto now = MonoClock::now();
-    log::info( "request_end", { { "id", m_request.head.requestId },
-                                { "route", m_route != nullptr ? m_route->name : "" },
-                                { "organisation", m_organisation ? m_organisation->name : "" },
-                                { "fingerprint", decide::fingerprintText( m_fingerprint ) },
-                                { "client", addressOf( m_client->socket ) },
-                                { "outcome", outcome },
-                                { "status", static_cast<std::int64_t>( m_status ) },
-                                { "sends", static_cast<std::int64_t>( m_sends ) },
-                                { "first_event_ms", m_firstEvent ? m_firstEvent->count() : -1 },
-                                { "expected_ms", static_cast<std::int64_t>( m_expectedMs ) },
-                                { "longest_pause_ms", m_longestPause.count() },
-                                { "took_ms", millisBetween( m_request.arrived, now ) } } );
+    log::info( "request_end",
+               { { "id", m_request.head.requestId },
+                 { "route", m_route != nullptr ? m_route->name : "" },
+                 { "organisation", m_organisation ? m_organisation->name : "" },
+                 { "fingerprint", decide::fingerprintText( m_fingerprint ) },
+                 { "client", addressOf( m_client->socket ) },
+                 { "outcome", outcome },
+                 { "status", static_cast<std::int64_t>( m_status ) },
+                 { "sends", static_cast<std::int64_t>( m_sends ) },
+                 { "first_event_ms", m_timeToFirstEvent ? m_timeToFirstEvent->count() : -1 },
+                 { "expected_ms", static_cast<std::int64_t>( m_expectedMs ) },
+                 { "longest_pause_ms", m_longestPause.count() },
+                 { "took_ms", millisBetween( m_request.arrived, now ) } } );
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -28,7 +28,7 @@
 
 namespace http = boost::beast::http;
 
-//! What all requests of a gateway share.
+//! State of the gateway process that all requests share.
 struct Shared {
     net::asio::io_context& context;
     Fleet& fleet;
@@ -38,65 +38,70 @@
     std::shared_ptr<const RouteTable> table;    //!< null until a configuration is known
     std::map<std::string, RetryWindow> retries; //!< by service
     std::size_t inFlight = 0;
-    QuotaClient* quota = nullptr;        //!< null: nobody's requests are counted
-    LimitClient* limits = nullptr;       //!< null: upstreams' limits are not kept
-    PoisonGuard* poison = nullptr;       //!< null: nothing is quarantined
-    MonoTime started = MonoClock::now(); //!< this process
-    bool listed = true;                  //!< the upstreams are known
-    int starting = 0;                    //!< requests that wait for configuration and upstreams
-    bool current = true;                 //!< changes of the configuration are heard of
+    QuotaClient* quota = nullptr;        //!< null: no quotas are enforced
+    LimitClient* limits = nullptr;       //!< null: limits that upstreams announce are ignored
+    PoisonGuard* poison = nullptr;       //!< null: no request is quarantined
+    MonoTime started = MonoClock::now(); //!< start of this process
+    bool listed = true;                  //!< the list of upstreams is known
+    int waitingForStart =
+        0;               //!< requests that wait until the configuration and the upstreams are known
+    bool current = true; //!< this gateway receives changes of the configuration
     bool draining = false;
-    MonoTime stopAt{};                    //!< when draining: nothing may be in flight any more
-    bool pastHandover = false;            //!< when draining: clients had time to go elsewhere
-    bool sendsEnded = false;              //!< too late for a send: the process is about to stop
-    std::set<net::Socket*> idleClients{}; //!< kept connections without a request
+    MonoTime stopAt{}; //!< when draining: the process stops at the latest then
+    bool pastHandover =
+        false; //!< when draining: clients have had the time to switch to another gateway
+    bool sendsStopped =
+        false; //!< the process is about to stop: no request is sent to an upstream any more
+    std::set<net::Socket*> idleClients{}; //!< client connections without a request in progress
 };
 
-//! A request as it came from the client.
+//! A request as received from the client.
 struct ClientRequest {
     std::string method;
     std::string target;
     http::fields fields;
     std::string body;
     platform::RequestHead head;
-    MonoTime arrived; //!< when its first bytes came
+    MonoTime arrived; //!< when its first bytes were read
 };
 
-//! An answer that is sent in one go.
-struct WholeAnswer {
+//! An answer that is held in memory and sent with its complete body.
+struct BufferedAnswer {
     unsigned status = 0;
     std::string reason;
     http::fields fields;
     std::string body;
-    bool own = false; //!< made here, not by an upstream
+    bool madeByGateway = false; //!< made by this gateway, not by an upstream
 };
 
-//! One send of a request; see transfer.hpp.
+//! One send of a request to an upstream; see transfer.hpp.
 struct Transfer;
 
-//! When a client is to come back where a model has to be loaded first, or no configuration is known
-//! yet: about the time that a load, or an outage of the store, takes.
+//! Retry-After of a refusal because a model has to be loaded first or no configuration is known
+//! yet: about the duration of a load or of a store outage.
 inline constexpr Millis modelRetryAfter{ 1000 };
-//! When a refused client is to come back, unless the upstream said when.
+//! Retry-After of other refusals, unless an upstream stated a time.
 inline constexpr Millis usualRetryAfter{ 300 };
-//! Pause until it is looked again whether a process that has just started knows enough.
-inline constexpr Millis startLook{ 10 };
+//! Interval at which a request checks again whether the gateway has received what the request waits
+//! for: the configuration and the upstreams, or a sidecar's first report.
+inline constexpr Millis startPollInterval{ 10 };
 
-//! Time kept back for the last answer: a request that reaches its limit gets it in time.
+//! A send ends this long before the request's deadline, so that the client receives an error answer
+//! in time.
 inline constexpr Millis answerMargin{ 30 };
 
-//! How a client that is not known is told to show its key.
+//! Value of the WWW-Authenticate field in an answer 401.
 inline constexpr std::string_view keyChallenge = "Bearer";
 
-//! How a request ended towards its client.
+//! Result of a request for the client's connection.
 struct ExchangeResult {
-    bool keepAlive = true; //!< the client's connection may serve another request
+    bool keepAlive = true; //!< the connection may serve another request
 };
 
-//! Serves one request: chooses upstreams, sends, retries, and answers the client.
+//! Serves one request: chooses upstreams, sends the request, retries, and answers the client.
 class Exchange {
 public:
-    Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
+    Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientConnection> client,
               bool clientKeepsAlive );
     ~Exchange();
     Exchange( const Exchange& ) = delete;
@@ -105,125 +110,135 @@
     net::Task<ExchangeResult> run();
 
 private:
-    //! How one send to an upstream ended.
+    //! Outcome of one send to an upstream.
     enum class SendEnd {
-        answered,  //!< m_answer holds the whole answer
-        streamed,  //!< the client has the whole stream
-        notRun,    //!< it was not run, and never will be
-        lost,      //!< it may have run; no usable answer
-        streamCut, //!< part of a stream was passed on, then it broke
-        stopped,   //!< the client left or the time is over
+        answered,  //!< m_answer holds the complete answer
+        streamed,  //!< the complete stream was written to the client
+        notRun,    //!< the upstream did not run the request and never will
+        lost,      //!< the upstream may have run the request; no usable answer
+        streamCut, //!< the stream broke after a part of it was written to the client
+        stopped,   //!< the client disconnected or the deadline passed
     };
     struct Sent {
         SendEnd end = SendEnd::lost;
-        std::string why;
-        bool broke = false; //!< the connection ended under it
+        std::string failure;
+        bool broke = false; //!< the upstream's connection broke while the request ran
     };
 
-    //! What follows on a choice of upstream.
-    enum class Next {
-        send,      //!< all is there, and the engine takes the prompt now
-        again,     //!< what is known has changed: choose once more
-        elsewhere, //!< not there
-        stop,      //!< it can't be served in time by any
+    //! Next step after the preparation of a send to the chosen upstream.
+    enum class PrepareResult {
+        send,          //!< send: model and adapter are resident and the prompt is admitted
+        chooseAgain,   //!< the gateway's knowledge of the upstreams has changed: choose again
+        chooseAnother, //!< exclude this upstream and choose again
+        giveUp,        //!< no upstream can serve the request in time
     };
 
-    //! A process that has just started knows neither configuration nor upstreams: waits a little.
+    //! Waits, for a short time after the start of the process, until the configuration and the
+    //! upstreams are known.
     net::Task<> waitForStart();
-    //! Finds route and organisation, or refuses.
+    //! Finds the route and the organisation; answers the client and returns false if it refuses the
+    //! request.
     net::Task<bool> admit();
-    //! Takes what it counts from its organisation's quota, or refuses.
+    //! Charges the request to its organisation's quota; answers the client and returns false if the
+    //! quota does not allow the request.
     net::Task<bool> charge();
     decide::Fingerprint fingerprint() const;
-    //! Refuses a request whose content ends what runs it.
+    //! Refuses the request if its content is quarantined as a poison request; true if refused.
     net::Task<bool> refuseQuarantined();
-    //! True when its content may be sent, as far as upstreams that ended under it go.
+    //! True unless the request's content is quarantined, or is on trial after a quarantine and was
+    //! sent already.
     bool maySend();
-    //! What a send showed of the request's content.
+    //! Reports to the poison guard whether the request completed or broke its upstream's
+    //! connection.
     void judgeContent( const NodePtr& node, const Sent& sent, MonoTime now );
     net::Task<> forward();
-    //! Nothing is left that it could go to: notes why, and when to come back.
-    void noteNoChoice( const Choice& choice );
-    //! Waits a little until an upstream that was in a back-off takes one more.
-    net::Task<Next> waitForTurn( const Choice& choice );
-    //! Obtains what the request needs at the chosen upstream.
-    net::Task<Next> prepare( Choice& choice );
-    Next sendUnasked( Node& node );
-    net::Task<Next> askSidecar( Choice& choice );
-    EnsureRequest question( const Choice& choice, MonoTime now ) const;
-    Next followAnswer( Choice& choice, const EnsureAnswer& answer, bool late );
-    void logAsk( const Choice& choice, const EnsureAnswer& answer, MonoTime since ) const;
-    //! Leave of the chosen upstream's limit, where it has named one.
-    net::Task<bool> obtainRoom( const Choice& choice );
-    //! The same again when preparing took so long that the leave is stale.
-    net::Task<bool> renewRoom( const Choice& choice );
-    //! What was obtained for the chosen upstream is of no use any more, if it was not used.
-    void dropLeaves();
+    //! Sets failure text and Retry-After when no upstream can be chosen.
+    void noteNoUpstream( const Choice& choice );
+    //! Waits one poll interval while the slow start that follows a back-off allows the upstream no
+    //! further request.
+    net::Task<PrepareResult> waitForSlowStart( const Choice& choice );
+    //! Prepares the send to the chosen upstream: waits for its sidecar, a model or an admission.
+    net::Task<PrepareResult> prepare( Choice& choice );
+    PrepareResult admitWithoutSidecar( Node& node );
+    net::Task<PrepareResult> requestAdmission( Choice& choice );
+    EnsureRequest admissionRequest( const Choice& choice, MonoTime now ) const;
+    PrepareResult applyAdmissionAnswer( Choice& choice, const EnsureAnswer& answer, bool late );
+    void logAdmission( const Choice& choice, const EnsureAnswer& answer, MonoTime since ) const;
+    //! Obtains a permit under the chosen upstream's limit, if the upstream has announced one.
+    net::Task<bool> obtainLimitPermit( const Choice& choice );
+    //! Obtains a new permit if the preparation took longer than the permit's lifetime.
+    net::Task<bool> renewLimitPermit( const Choice& choice );
+    //! Drops the permits for the chosen upstream; unused ones are returned.
+    void dropPermits();
     net::Task<Sent> sendTo( NodePtr node, const Choice& choice );
     net::Task<ConnectionPtr> connectionTo( Node& node );
     net::Task<Sent> receive( Node& node, ConnectionPtr connection, const Choice& choice );
-    net::Task<Sent> passStream( Transfer& transfer );
-    net::Task<Sent> takeWhole( Transfer& transfer );
-    SendEnd judge( Transfer& transfer, unsigned status );
-    //! Notes what an answer says of the upstream that gave it.
-    void hearAnnouncement( const Transfer& transfer );
-    void hearLimit( const Transfer& transfer, MonoTime now );
-    bool ended( const Transfer& transfer ) const;
+    net::Task<Sent> forwardStream( Transfer& transfer );
+    net::Task<Sent> receiveBuffered( Transfer& transfer );
+    SendEnd outcomeOfAnswer( Transfer& transfer, unsigned status );
+    //! Records what the answer's header fields announce about the upstream that sent it.
+    void noteAnnouncement( const Transfer& transfer );
+    void noteAnnouncedLimit( const Transfer& transfer, MonoTime now );
+    bool isAborted( const Transfer& transfer ) const;
     std::string streamText( std::string_view events, bool finished );
     net::Task<bool> writeClient( std::string bytes );
-    net::Task<> answerWhole( const WholeAnswer& answer );
+    net::Task<> sendBufferedAnswer( const BufferedAnswer& answer );
     net::Task<> answerOwn( unsigned status, std::string reason, Millis retryAfter );
-    net::Task<> finishFailed();
+    net::Task<> answerFailure();
     std::string requestBytes( const Node& node ) const;
     bool keepsAlive() const { return m_keepAlive && !m_shared.draining; }
-    //! Until when the request may wait for what it needs at the chosen upstream.
-    MonoTime waitLimit( const Choice& choice ) const;
-    //! How long to wait for the sake of the streams that run there; zero when its own goal forbids.
-    Millis paceWait( const Choice& choice, MonoTime now ) const;
-    //! True when what it needs there comes too late for the client: it is refused, the load begins.
-    bool tooLateThere( const Choice& choice, MonoTime now );
+    //! Latest time until which the request may wait before it is sent to the chosen upstream.
+    MonoTime waitDeadline( const Choice& choice ) const;
+    //! How long to delay the prompt so that the upstream's running streams keep their gap target;
+    //! zero if the delay would miss the request's own goal.
+    Millis pacingDelay( const Choice& choice, MonoTime now ) const;
+    //! True if the load at the chosen upstream ends too late for the client. Starts the load of the
+    //! model in that case, and sets the refusal's failure text and Retry-After.
+    bool loadTooLate( const Choice& choice, MonoTime now );
     int urgency() const;
-    bool mayTryAgain( const Sent& sent );
-    bool timeLeft( MonoTime now ) const { return now < m_deadline; }
+    bool mayRetry( const Sent& sent );
+    bool hasTimeLeft( MonoTime now ) const { return now < m_deadline; }
     void logSend( const Node& node, const Choice& choice, MonoTime now ) const;
     void noteEvents( Transfer& transfer );
     void logEnd( std::string_view outcome ) const;
 
     Shared& m_shared;
-    std::shared_ptr<const RouteTable> m_table; //!< in force when the request came
+    std::shared_ptr<const RouteTable> m_table; //!< in force when the request arrived
     ClientRequest m_request;
-    std::shared_ptr<ClientEnd> m_client;
+    std::shared_ptr<ClientConnection> m_client;
     bool m_keepAlive;
     const Route* m_route = nullptr;
-    const Organisation* m_organisation = nullptr; //!< null where no key is needed
-    double m_charged = 0;                         //!< units of its quota
-    decide::Fingerprint m_fingerprint = 0;        //!< of its content; the same in each try
+    const Organisation* m_organisation = nullptr; //!< null where the route needs no key
+    double m_charged = 0;                         //!< units charged to the organisation's quota
+    decide::Fingerprint m_fingerprint = 0; //!< of the request's content; equal for each retry
     std::string m_service;
     Need m_need;
     std::vector<std::uint64_t> m_prefix;
-    Patience m_patience;
+    Patience m_clientTimeout;
     MonoTime m_deadline;
-    std::set<std::string> m_excluded;    //!< upstreams that this request does not go to any more
-    int m_refusals = 0;                  //!< sidecars that could not let it in before its goal
-    std::optional<ReadingLeave> m_leave; //!< to send its prompt to the chosen upstream
-    std::optional<LimitLeave> m_room;    //!< likewise, where the upstream has a limit
-    MonoTime m_roomAt;                   //!< when that was obtained
-    int m_sends = 0;                     //!< that reached an upstream
-    MonoTime m_sentAt;                   //!< the last of them
-    std::optional<MonoTime> m_heardAt;   //!< that one's first event
-    int m_runs = 0;                      //!< of these, may have run
+    std::set<std::string> m_excluded; //!< upstreams that this request is not sent to any more
+    int m_sidecarRefusals = 0;        //!< sidecars that could not admit the prompt within the goal
+    std::optional<ReadingLeave>
+        m_promptPermit; //!< admission of the prompt by the chosen upstream's sidecar
+    std::optional<LimitLeave> m_limitPermit; //!< permit under the chosen upstream's limit
+    MonoTime m_limitPermitAt;                //!< when the limit's permit was obtained
+    int m_sends = 0;                         //!< sends over an open connection to an upstream
+    MonoTime m_sentAt;                       //!< time of the last send
+    std::optional<MonoTime> m_heardAt;       //!< first event of the last send
+    int m_runs = 0;                          //!< sends that the upstream may have run
     bool m_mayHaveRun = false;
     std::string m_lastWhy;
     Millis m_retryAfter{ 0 };
-    std::optional<WholeAnswer> m_answer; //!< an upstream's own failure, kept in case a retry fails
+    std::optional<BufferedAnswer> m_answer; //!< an upstream's answer, not yet written to the
+                                            //!< client; a failure is kept in case a retry fails
     bool m_headSent = false;
     bool m_answered = false;
     unsigned m_status = 0;
-    std::optional<std::uint64_t> m_lastEvent; //!< last event passed on
+    std::optional<std::uint64_t> m_lastEvent; //!< id of the last event written to the client
     MonoTime m_lastEventAt;
-    std::optional<Millis> m_firstEvent; //!< from arrival to the first event passed on
-    Millis m_longestPause{ 0 };         //!< between events passed on
-    double m_expectedMs = 0;            //!< what the last choice expected until then
+    std::optional<Millis> m_timeToFirstEvent; //!< from arrival to the first event for the client
+    Millis m_longestPause{ 0 };               //!< between events for the client
+    double m_expectedMs = 0; //!< expected time to the first event or answer, by the last choice
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -19,17 +19,19 @@
 namespace {
 
 constexpr Millis tickInterval{ 100 };
-//! How often the settings file is looked at: it may change without a signal, and configuration is
-//! due within seconds.
-constexpr Millis settingsInterval{ 1000 };
-//! After SIGTERM clients are still sent here until readiness was asked for twice, a second apart.
-constexpr Millis leaveDelay{ 2600 };
-//! Kept back from the time until SIGKILL, to exit in order.
+//! Interval of checks for a changed settings file: it may change without a signal, and a change
+//! must take effect within seconds.
+constexpr Millis settingsCheckInterval{ 1000 };
+//! After SIGTERM clients are still routed to this gateway until two readiness probes, a second
+//! apart, have failed.
+constexpr Millis handoverDelay{ 2600 };
+//! Part of the grace period before SIGKILL that is reserved for an orderly exit.
 constexpr Millis exitMargin{ 500 };
-//! A request that still waits for a model this long before the end is refused, not cut.
+//! A request that still waits for a model this long before the drain's end is refused; otherwise
+//! its connection would be cut without an answer.
 constexpr Millis lastSendMargin{ 1000 };
 
-//! The gateway's services on one event loop.
+//! The gateway process; all its services run on one event loop.
 class Gateway {
 public:
     explicit Gateway( platform::NodeSettings settings )
@@ -50,7 +52,7 @@
         m_fleet.onLimits(
             [this]( const decide::LimitNews& news ) { m_limits.take( news, MonoClock::now() ); } );
         m_shared.listed = false;
-        m_front = std::make_unique<net::Acceptor>(
+        m_clientAcceptor = std::make_unique<net::Acceptor>(
             net::listen( m_context, m_settings.front.ip, m_settings.front.port ) );
         auto ready = net::listen( m_context, m_settings.ready.ip, m_settings.ready.port );
         auto metrics = net::listen( m_context, m_settings.ip, m_settings.metricsPort );
@@ -101,7 +103,7 @@
 
     net::Task<> acceptClients() {
         for( ;; ) {
-            auto [ec, socket] = co_await m_front->async_accept( net::tupled );
+            auto [ec, socket] = co_await m_clientAcceptor->async_accept( net::tupled );
             if( ec ) {
                 log::warn( "accept_failed", { { "detail", ec.message() } } );
                 constexpr Millis delay{ 20 };
@@ -116,7 +118,7 @@
     FeedHandlers feedHandlers() {
         FeedHandlers out;
         out.configuration = [this]( std::string_view json ) {
-            takeConfiguration( json );
+            applyConfiguration( json );
         };
         out.upstreams = [this] {
             syncFleet();
@@ -133,35 +135,36 @@
         return out;
     }
 
-    void takeConfiguration( std::string_view json ) {
+    void applyConfiguration( std::string_view json ) {
         std::string problem;
         auto read = platform::readConfiguration( json, problem );
         if( !read ) {
             log::error( "configuration_unreadable", { { "detail", problem } } );
             return;
         }
-        const auto held = m_shared.table ? m_shared.table->configuration().version : 0;
-        if( m_shared.table && read->version <= held ) {
+        const auto currentVersion = m_shared.table ? m_shared.table->configuration().version : 0;
+        if( m_shared.table && read->version <= currentVersion ) {
             return;
         }
         log::info( "configuration",
                    { { "version", static_cast<std::int64_t>( read->version ) },
-                     { "before", static_cast<std::int64_t>( held ) },
+                     { "before", static_cast<std::int64_t>( currentVersion ) },
                      { "routes", static_cast<std::int64_t>( read->routes.size() ) } } );
-        noteUnknownHomes( *read );
+        warnUnknownHomeRegions( *read );
         m_shared.table = std::make_shared<RouteTable>( std::move( *read ) );
         m_fleet.setConfiguration( m_shared.table, MonoClock::now() );
         m_quota.setConfiguration( m_shared.table->configuration() );
     }
 
-    //! Homes that name no region leave nobody to serve a request there.
-    void noteUnknownHomes( const Configuration& configuration ) const {
+    //! Warns of home regions that don't exist: no upstream can serve a request whose home regions
+    //! are all unknown.
+    void warnUnknownHomeRegions( const Configuration& configuration ) const {
         std::set<std::string> known;
         for( const auto& it : m_settings.regions ) {
             known.insert( it.second );
         }
-        const auto look = [&known]( std::string_view kind, const std::string& name,
-                                    std::span<const std::string> homes ) {
+        const auto warnUnknown = [&known]( std::string_view kind, const std::string& name,
+                                           std::span<const std::string> homes ) {
             for( const auto& it : homes ) {
                 if( !known.contains( it ) ) {
                     log::warn( "home_unknown",
@@ -170,10 +173,10 @@
             }
         };
         for( const auto& it : configuration.routes ) {
-            look( "route", it.name, it.homeRegions );
+            warnUnknown( "route", it.name, it.homeRegions );
         }
         for( const auto& it : configuration.organisations ) {
-            look( "organisation", it.name, it.homeRegions );
+            warnUnknown( "organisation", it.name, it.homeRegions );
         }
     }
 
@@ -197,8 +200,8 @@
             m_limits.tick( now );
             m_shared.listed = m_feed.upstreamsListed();
             m_shared.current = m_feed.configurationCurrent();
-            if( now - m_settingsLook >= settingsInterval ) {
-                m_settingsLook = now;
+            if( now - m_settingsCheckedAt >= settingsCheckInterval ) {
+                m_settingsCheckedAt = now;
                 if( m_settingsWatch.changed() ) {
                     reload();
                 }
@@ -225,14 +228,15 @@
         const auto limit = start + m_settings.bounds.grace - exitMargin;
         m_shared.stopAt = limit;
         closeIdleClients();
-        co_await net::pause( m_context, leaveDelay );
-        // Clients that come all the same, where every gateway leaves, get what fits the time left.
+        co_await net::pause( m_context, handoverDelay );
+        // Where every gateway drains, clients still connect to this one. Their requests are served
+        // if their deadline is before the stop.
         m_shared.pastHandover = true;
         closeIdleClients();
         while( m_shared.inFlight > 0 && MonoClock::now() < limit ) {
             constexpr Millis step{ 20 };
-            if( !m_shared.sendsEnded && MonoClock::now() >= limit - lastSendMargin ) {
-                m_shared.sendsEnded = true;
+            if( !m_shared.sendsStopped && MonoClock::now() >= limit - lastSendMargin ) {
+                m_shared.sendsStopped = true;
                 m_fleet.abandonWaits();
             }
             co_await net::pause( m_context, step );
@@ -240,7 +244,8 @@
         m_context.stop();
     }
 
-    //! Clients with an open connection and no request would go on using it until the end.
+    //! Closes client connections without a request: their clients would otherwise use them until
+    //! the process stops.
     void closeIdleClients() {
         net::ErrorCode ec;
         for( auto* it : m_shared.idleClients ) {
@@ -275,9 +280,9 @@
     PoisonGuard m_poison;
     StoreFeed m_feed;
     net::asio::signal_set m_signals;
-    std::unique_ptr<net::Acceptor> m_front;
+    std::unique_ptr<net::Acceptor> m_clientAcceptor;
     platform::SettingsWatch m_settingsWatch{ platform::settingsPath() };
-    MonoTime m_settingsLook;
+    MonoTime m_settingsCheckedAt;
 };
 
 } // namespace
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -7,7 +7,7 @@
 
 namespace coursehead::gateway {
 
-//! Runs the gateway: takes clients' requests and sends them to upstreams. Gives the exit code.
+//! Runs the gateway: accepts clients' requests and sends them to upstreams. Returns the exit code.
 int runGateway( std::span<const std::string> arguments );
 
 } // namespace coursehead::gateway
--- a/src/gateway/http_text.cpp
+++ b/src/gateway/http_text.cpp
@@ -50,8 +50,8 @@
                             std::string_view framing, bool keepAlive ) {
     std::string out = "HTTP/1.1 " + std::to_string( status ) + " ";
     if( reason.empty() ) {
-        const auto usual = http::obsolete_reason( static_cast<http::status>( status ) );
-        out.append( usual.data(), usual.size() );
+        const auto standardReason = http::obsolete_reason( static_cast<http::status>( status ) );
+        out.append( standardReason.data(), standardReason.size() );
     } else {
         out.append( reason );
     }
--- a/src/gateway/http_text.hpp
+++ b/src/gateway/http_text.hpp
@@ -7,23 +7,23 @@
 #include <string>
 #include <string_view>
 
-//! Heads of HTTP/1.1 messages that are passed on.
+//! Text of forwarded HTTP/1.1 messages: heads and chunks.
 namespace coursehead::gateway {
 
 namespace http = boost::beast::http;
 
-//! True for fields that concern one connection only: the standard ones, and those that the
-//! Connection field names.
+//! True for hop-by-hop fields: the standard ones and those that the Connection field names.
 bool isHopByHop( const http::fields& fields, http::field name, std::string_view text );
 
-//! The fields that travel on, each on its line.
+//! Appends the fields that are not hop-by-hop, one a line.
 void appendForwarded( std::string& out, const http::fields& fields );
 
-//! Status line, forwarded fields, `framing` (whole lines), Connection, and the empty line.
+//! Head of an answer: status line, forwarded fields, `framing` (complete lines), Connection, and
+//! the empty line.
 std::string answerHeadText( unsigned status, std::string_view reason, const http::fields& fields,
                             std::string_view framing, bool keepAlive );
 
-//! A chunk of the chunked coding.
+//! Encodes bytes as one chunk of the chunked transfer coding.
 std::string chunkText( std::string_view bytes );
 inline constexpr std::string_view lastChunk = "0\r\n\r\n";
 
--- a/src/gateway/node.cpp
+++ b/src/gateway/node.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-//! Sidecars repeat their report every 500 ms at the latest; after three missed ones the upstream's
-//! entry in the store is the better source.
-constexpr Millis reportLife{ 1500 };
-//! A connection to a sidecar and its first report take some milliseconds; on the thinnest VMs, when
-//! a hundred come at once, some tenths of a second. Taken for engines that hold nothing they made
-//! 182 requests be told to come back after a load from the weight store, 6 s.
-constexpr Millis firstReport{ 500 };
+//! How long a report is fresh. Sidecars repeat their report at least every 500 ms; after three
+//! missed reports the upstream's entry in the store is the better source.
+constexpr Millis reportLifetime{ 1500 };
+//! How long a sidecar's first report is awaited. Connection and first report take some
+//! milliseconds, and some tenths of a second on the smallest VMs when a hundred connections open at
+//! once. Without the wait such an engine counts as one without models, and requests (182 in one
+//! case) are refused with a Retry-After of 6 s, the time of a load from the weight store.
+constexpr Millis firstReportTimeout{ 500 };
 
 const Resident* findModel( const std::vector<Resident>& residents, std::string_view model ) {
     const auto it = std::find_if( residents.begin(), residents.end(),
@@ -32,11 +33,11 @@
 }
 
 bool Node::reportFresh( MonoTime now ) const {
-    return report && now - reportAt < reportLife;
+    return report && now - reportAt < reportLifetime;
 }
 
 bool Node::awaitsReport( MonoTime now ) const {
-    return engine && sidecar && !report && now - addedAt < firstReport;
+    return engine && sidecar && !report && now - addedAt < firstReportTimeout;
 }
 
 const std::vector<Resident>& Node::residents( MonoTime now ) const {
@@ -75,13 +76,14 @@
     adaptersUsed.clear();
 }
 
-void Node::hear( const decide::Announcement& said, int gateways, MonoTime now ) {
-    announced.take( said, now );
-    if( said.backoff ) {
+void Node::takeAnnouncement( const decide::Announcement& announcement, int gateways,
+                             MonoTime now ) {
+    announced.take( announcement, now );
+    if( announcement.backoff ) {
         slowStart.begin( upstream.slots, gateways );
     }
-    if( said.cold ) {
-        noteCold( *said.cold, now );
+    if( announcement.cold ) {
+        noteCold( *announcement.cold, now );
     }
 }
 
@@ -90,7 +92,7 @@
     if( !generation.adapter.empty() ) {
         adaptersUsed.insert( generation.model + "/" + generation.adapter );
     }
-    // The last part is the request's own: nobody else asks for it.
+    // The last part is unique to the request, so no other request shares it.
     for( std::size_t n = 0; n + 1 < keys.size(); ++n ) {
         const auto known = std::any_of( sentParts.begin(), sentParts.end(),
                                         [&]( const auto& it ) { return it.key == keys[n]; } );
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -25,94 +25,98 @@
 
 class SidecarLink;
 
-//! What a gateway knows of one upstream, and what it has in flight there.
+//! A gateway's state of one upstream: its knowledge of the upstream and its requests in flight
+//! there.
 struct Node {
     Node( Upstream listed, MonoTime now )
         : upstream( std::move( listed ) ), addedAt( now ), prefixes( 0 ) {}
 
     Upstream upstream;
-    MonoTime addedAt;                         //!< when this gateway first heard of it
-    Born toldBorn = 0;                        //!< start that its sidecar was told of
-    SpecTextPtr toldSpec;                     //!< description that its sidecar was told of
+    MonoTime addedAt;     //!< when this gateway learnt of the upstream
+    Born toldBorn = 0;    //!< start of the upstream, as last sent to its sidecar
+    SpecTextPtr toldSpec; //!< engine description that was last sent to its sidecar
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
-    Millis gapTarget{ 0 };                    //!< of the service's streams; 0: none
+    Millis gapTarget{ 0 };                    //!< gap target of the service's streams; 0: none
     ConnectionPool pool;
     Health health;
     ReadingBudget reading;
     PrefixCache prefixes;
     std::shared_ptr<SidecarLink> sidecar; //!< null for plain services
-    std::optional<SidecarReport> report;  //!< the sidecar's last
+    std::optional<SidecarReport> report;  //!< last report of the sidecar
     MonoTime reportAt;
-    bool engineReachable = true;      //!< as the sidecar says
-    bool common = false;              //!< all gateways are connected to its sidecar
-    decide::Announcements announced;  //!< what it has said of itself in its answers
-    decide::LimitState limit;         //!< what it takes from all gateways together
-    decide::SlowStart slowStart;      //!< what it is sent behind a back-off
-    decide::ColdGate cold;            //!< what it bears after a start
-    double coldPerS = 0;              //!< requests a second that it is sent while cold; 0: no rule
-    Millis coldTime{ 0 };             //!< how long upstreams of its service stay cold
-    bool replaced = false;            //!< another start has the address; the entry is about to go
-    bool gone = false;                //!< no longer in the fleet
-    std::optional<MonoTime> leavesAt; //!< it was announced to be gone by then
-    std::optional<MonoTime> stopAt;   //!< its hall is emptied: nothing is sent from then on
+    bool engineReachable = true;     //!< by the sidecar's last report
+    bool common = false;             //!< all gateways are connected to its sidecar
+    decide::Announcements announced; //!< announcements in the upstream's answers
+    decide::LimitState limit;        //!< limit on the requests of all gateways together
+    decide::SlowStart slowStart;     //!< limits requests in flight after a back-off
+    decide::ColdGate cold;           //!< limits the request rate while the upstream is cold
+    double coldPerS = 0;             //!< requests a second allowed while cold; 0: no rule
+    Millis coldTime{ 0 };            //!< how long upstreams of this service stay cold after a start
+    bool replaced = false; //!< another upstream has its address; the store's entry will be removed
+    bool gone = false;     //!< no longer in the fleet
+    std::optional<MonoTime> leavesAt; //!< announced time by which the upstream will have ended
+    std::optional<MonoTime> stopAt;   //!< its hall is evacuated: no request is sent from then on
     int inFlight = 0;
-    int prefilling = 0;       //!< of those, without a first event yet
-    double prefillMs = 0;     //!< their estimated prompt reading time
-    MonoTime lastHeard;       //!< bytes from any of its connections
-    double readingWaitMs = 0; //!< until it could begin with a prompt, as its sidecar last said
-    MonoTime readingWaitAt;   //!< when the sidecar said so
+    int prefilling = 0;       //!< requests in flight without a first event yet
+    double prefillMs = 0;     //!< estimated prompt reading time of those requests
+    MonoTime lastHeard;       //!< last time that bytes arrived over any of its connections
+    double readingWaitMs = 0; //!< until the engine could begin with a prompt, by its sidecar
+    MonoTime readingWaitAt;   //!< when the sidecar sent that value
     std::map<std::string, MonoTime>
-        loading;                        //!< models that this gateway waits for there, since when
-    std::vector<SentPart> sentParts;    //!< shared parts sent there since the last demand message
-    std::set<std::string> adaptersUsed; //!< MODEL/NAME sent there since the last demand message
-    std::map<std::string, int, std::less<>> running; //!< in flight, by MODEL and by MODEL/NAME
+        loading; //!< models that this gateway waits for, with the start of the wait
+    std::vector<SentPart> sentParts;    //!< shared prompt parts sent since the last demand message
+    std::set<std::string> adaptersUsed; //!< MODEL/NAME sent since the last demand message
+    std::map<std::string, int, std::less<>>
+        running; //!< requests in flight by MODEL and by MODEL/NAME
 
-    //! It has started again under its id: nothing that was known of the earlier start holds. What
-    //! is in flight goes on counting until it ends.
+    //! Discards what was known of the earlier start, after the upstream has started again under its
+    //! id. Requests in flight stay counted until they end.
     void beginAnew( Born born, MonoTime now );
-    //! True when it is about to end, by its entry or by its own word, which is some hundred
-    //! milliseconds earlier and comes also when the store does not.
+    //! True if the upstream is about to end, by the store's entry or by its own announcement. The
+    //! announcement arrives some hundred milliseconds earlier, and also when the store is down.
     bool leaving() const { return upstream.state != UpstreamState::ready || announced.leaving(); }
-    //! Takes what one of its answers said of it. `gateways` send to it, this one included.
-    void hear( const decide::Announcement& said, int gateways, MonoTime now );
-    //! True while new requests may go there.
+    //! Applies what one of the upstream's answers announced. `gateways`: the number of gateways
+    //! that send to the upstream, this one included.
+    void takeAnnouncement( const decide::Announcement& announcement, int gateways, MonoTime now );
+    //! True while new requests may be sent to the upstream.
     bool takesRequests() const { return !gone && !replaced && !leaving(); }
-    //! The same, and its hall is not emptied.
+    //! The same, and its hall is not evacuated at `now`.
     bool takesRequests( MonoTime now ) const {
         return takesRequests() && ( !stopAt || now < *stopAt );
     }
-    //! The same, and it has not asked this gateway for a back-off: 105 requests came to one within
-    //! the 2.5 s that it had asked for, each turned away again when it was full.
-    bool takesRequestsNow( MonoTime now ) const {
+    //! The same, and no back-off is in force that the upstream has asked this gateway for. Requests
+    //! sent during a back-off (105 within one of 2.5 s) were refused again because the upstream was
+    //! full.
+    bool isAvailable( MonoTime now ) const {
         return takesRequests( now ) && announced.backoffLeft( now ).count() == 0;
     }
     bool reportFresh( MonoTime now ) const;
-    //! True while its sidecar has had little time to report: what it holds is not known yet.
+    //! True while the sidecar's first report may still arrive: resident models are not known yet.
     bool awaitsReport( MonoTime now ) const;
-    //! How much prompt reading this gateway may ask of it.
+    //! Limits on the prompt reading that this gateway may request of the engine.
     ReadingBudget::Limits readingLimits( MonoTime now ) const;
-    //! What it holds: by the sidecar's report when fresh, else by its entry.
+    //! Resident models and adapters: by the sidecar's report if fresh, else by the store's entry.
     const std::vector<Resident>& residents( MonoTime now ) const;
     bool holdsModel( std::string_view model, MonoTime now ) const;
     bool holdsAdapter( std::string_view model, std::string_view adapter, MonoTime now ) const;
-    //! Models that it holds, and those that requests are in flight for.
+    //! Resident models and models that requests are in flight for.
     std::set<std::string> modelsOfInterest( MonoTime now ) const;
-    //! Notes a prompt that is sent there.
+    //! Records the parts of a prompt that is sent to the engine.
     void notePrompt( std::span<const std::uint64_t> keys, const Generation& generation );
-    //! It stays cold for this much longer, as far as is told.
+    //! The upstream stays cold for this much longer.
     void noteCold( Millis left, MonoTime now ) { cold.noteCold( left, now ); }
-    //! Takes the sidecar's word on the engine: all of it, or the load alone.
+    //! Applies a report of the sidecar on the engine: a complete one, or the load alone.
     void takeReport( const SidecarReport& next, MonoTime now );
     void takeLoad( const EngineLoad& load, MonoTime now );
-    //! Takes the sidecar's word on when the engine could begin with a prompt.
+    //! Sets how long the engine needs until it could begin with a prompt, by the sidecar.
     void takeReadingWait( double waitMs, MonoTime now );
-    //! What is left of that wait.
+    //! Remaining part of that time, in milliseconds.
     double readingWait( MonoTime now ) const;
-    //! True when prompts are sent with its sidecar's leave.
+    //! True if prompts are sent only after the sidecar has admitted them.
     bool asksSidecar( MonoTime now ) const;
-    //! Requests of this gateway in flight there for a model, or for MODEL/NAME.
+    //! Number of this gateway's requests in flight for a model, or for MODEL/NAME.
     int runningOf( std::string_view key ) const;
-    //! Adapters of a model that were sent there since the last demand message or are in flight.
+    //! Adapters of a model with requests in flight, or sent since the last demand message.
     std::vector<std::string> adaptersInUse( const std::string& model ) const;
 };
 using NodePtr = std::shared_ptr<Node>;
--- a/src/gateway/prepare.cpp
+++ b/src/gateway/prepare.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// What a request needs at the upstream that was chosen for it, before it is sent there.
+// Preparation of a send to the chosen upstream: sidecar connection, model, admission and permits.
 #include "coursehead/kernel/log.hpp"
 #include "gateway/exchange.hpp"
 
@@ -9,80 +9,84 @@
 
 namespace {
 
-//! Engines that are asked for room before the goal; then a late answer is better than none. Each
-//! question costs a round trip, and the next engine is a worse one.
-constexpr int inTimeAsks = 2;
-//! Until a sidecar that was not connected to has spoken; it takes some milliseconds.
-constexpr Millis openLimit{ 150 };
-//! Pause until it is looked again whether an upstream that was in a back-off takes one more.
-constexpr Millis turnLook{ 25 };
-//! Leave to send to an upstream with a limit is used within this, or asked for anew.
-constexpr Millis roomLife{ 250 };
-//! Pause until the weight store's rate is asked for again.
-constexpr Millis storePoll{ 150 };
+//! Number of sidecars that are asked to admit the prompt within the goal; the next one may admit it
+//! later, because a late answer is better than none. Each request costs a round trip, and each
+//! further engine is a worse choice.
+constexpr int maxInTimeRequests = 2;
+//! Timeout for the connection to a sidecar and its first message; they take some milliseconds.
+constexpr Millis sidecarConnectLimit{ 150 };
+//! Interval at which a request checks again whether the slow start after a back-off allows the
+//! upstream one more request.
+constexpr Millis slowStartPollInterval{ 25 };
+//! How long a permit under an upstream's limit may be used; after that a new one is obtained.
+constexpr Millis limitPermitLifetime{ 250 };
+//! Pause before the next request for a load from the rate-limited weight store.
+constexpr Millis storePollInterval{ 150 };
 
 } // namespace
 
-net::Task<Exchange::Next> Exchange::prepare( Choice& choice ) {
+net::Task<Exchange::PrepareResult> Exchange::prepare( Choice& choice ) {
     if( !choice.node->slowStart.admits( choice.node->inFlight ) ) {
-        co_return co_await waitForTurn( choice );
+        co_return co_await waitForSlowStart( choice );
     }
     if( m_need.generation == nullptr || !choice.node->engine ) {
-        co_return sendUnasked( *choice.node );
+        co_return admitWithoutSidecar( *choice.node );
     }
     const auto now = MonoClock::now();
     const auto link = choice.node->sidecar;
-    if( link && link->untried( now ) && timeLeft( now ) ) {
-        const bool reached = co_await link->opened( openLimit );
+    if( link && link->untried( now ) && hasTimeLeft( now ) ) {
+        const bool reached = co_await link->opened( sidecarConnectLimit );
         if( reached ) {
-            co_return Next::again;
+            co_return PrepareResult::chooseAgain;
         }
     }
     const bool holds = choice.holdsModel && choice.holdsAdapter;
-    if( !holds && choice.node->awaitsReport( now ) && timeLeft( now ) ) {
-        co_await net::pause( m_shared.context, startLook );
-        co_return Next::again;
+    if( !holds && choice.node->awaitsReport( now ) && hasTimeLeft( now ) ) {
+        co_await net::pause( m_shared.context, startPollInterval );
+        co_return PrepareResult::chooseAgain;
     }
-    if( !holds && tooLateThere( choice, now ) ) {
-        co_return Next::stop;
+    if( !holds && loadTooLate( choice, now ) ) {
+        co_return PrepareResult::giveUp;
     }
     if( choice.node->asksSidecar( now ) ) {
-        co_return co_await askSidecar( choice );
+        co_return co_await requestAdmission( choice );
     }
-    // Without a sidecar nobody orders loads there, and this gateway keeps its own budget.
-    const auto wait = paceWait( choice, now );
+    // Without a sidecar no load can be ordered, and this gateway limits prompt reading by its own
+    // budget.
+    const auto wait = pacingDelay( choice, now );
     if( holds && wait.count() > 0 ) {
         co_await net::pause( m_shared.context, wait );
-        co_return Next::again;
+        co_return PrepareResult::chooseAgain;
     }
     m_lastWhy = holds ? m_lastWhy : "model not ready";
-    co_return holds ? sendUnasked( *choice.node ) : Next::elsewhere;
+    co_return holds ? admitWithoutSidecar( *choice.node ) : PrepareResult::chooseAnother;
 }
 
-//! Where nobody beside the upstream counts for all gateways, each has its part of what a cold one
-//! bears. Half of it: parts that each let through by itself come together now and then.
-Exchange::Next Exchange::sendUnasked( Node& node ) {
-    constexpr double unaskedPart = 0.5;
+//! Without a sidecar that counts the requests of all gateways, each gateway has an equal share of
+//! the rate that a cold upstream can serve. Only half of the share is used, because requests that
+//! the gateways admit independently sometimes arrive together.
+Exchange::PrepareResult Exchange::admitWithoutSidecar( Node& node ) {
+    constexpr double unsupervisedShare = 0.5;
     const auto now = MonoClock::now();
-    const auto share = unaskedPart * node.coldPerS / std::max( m_shared.fleet.gateways(), 1 );
+    const auto share = unsupervisedShare * node.coldPerS / std::max( m_shared.fleet.gateways(), 1 );
     const auto wait = node.cold.wait( share, now );
     if( wait.count() > 0 ) {
         m_lastWhy = "upstreams are cold";
         m_retryAfter = std::max( m_retryAfter, std::min( wait, modelRetryAfter ) );
-        return Next::elsewhere;
+        return PrepareResult::chooseAnother;
     }
     if( node.cold.isCold( now ) ) {
         node.cold.take( now );
     }
-    return Next::send;
+    return PrepareResult::send;
 }
 
-net::Task<bool> Exchange::obtainRoom( const Choice& choice ) {
+net::Task<bool> Exchange::obtainLimitPermit( const Choice& choice ) {
     const bool limited = m_shared.limits != nullptr && choice.node->limit.known.perS();
     if( !limited ) {
         co_return true;
     }
-    const auto asked = MonoClock::now();
+    const auto requestedAt = MonoClock::now();
     NodePtr node = choice.node;
     const auto decision = co_await m_shared.limits->obtain( std::move( node ) );
     log::info( "limit_ask",
@@ -91,97 +95,102 @@
                  { "limit_per_s", log::decimal( choice.node->limit.known.perS().value_or( -1 ) ) },
                  { "outcome", decide::nameOf( decision.outcome ) },
                  { "wait_ms", decision.wait.count() },
-                 { "took_ms", millisBetween( asked, MonoClock::now() ) } } );
+                 { "took_ms", millisBetween( requestedAt, MonoClock::now() ) } } );
     if( decision.outcome == decide::LimitOutcome::granted ) {
-        m_room.emplace( *m_shared.limits, choice.node );
+        m_limitPermit.emplace( *m_shared.limits, choice.node );
     }
-    m_roomAt = MonoClock::now();
+    m_limitPermitAt = MonoClock::now();
     co_return decision.maySend();
 }
 
-//! What is granted is to arrive at the pace at which it is granted: requests that have waited for
-//! the same load would come together.
-net::Task<bool> Exchange::renewRoom( const Choice& choice ) {
+//! Requests must arrive at the rate at which their permits are granted. Requests that have waited
+//! for the same load with old permits would arrive together.
+net::Task<bool> Exchange::renewLimitPermit( const Choice& choice ) {
     const bool limited = choice.node->limit.known.perS().has_value();
-    if( !limited || MonoClock::now() - m_roomAt <= roomLife ) {
+    if( !limited || MonoClock::now() - m_limitPermitAt <= limitPermitLifetime ) {
         co_return true;
     }
-    m_room.reset();
-    co_return co_await obtainRoom( choice );
+    m_limitPermit.reset();
+    co_return co_await obtainLimitPermit( choice );
 }
 
-void Exchange::dropLeaves() {
-    m_leave.reset();
-    m_room.reset();
+void Exchange::dropPermits() {
+    m_promptPermit.reset();
+    m_limitPermit.reset();
 }
 
-net::Task<Exchange::Next> Exchange::waitForTurn( const Choice& choice ) {
-    if( MonoClock::now() + turnLook > waitLimit( choice ) ) {
+net::Task<Exchange::PrepareResult> Exchange::waitForSlowStart( const Choice& choice ) {
+    if( MonoClock::now() + slowStartPollInterval > waitDeadline( choice ) ) {
         m_lastWhy = "upstreams are back from a back-off, and busy";
         m_retryAfter = usualRetryAfter;
-        co_return Next::stop;
+        co_return PrepareResult::giveUp;
     }
-    co_await net::pause( m_shared.context, turnLook );
-    co_return Next::again;
+    co_await net::pause( m_shared.context, slowStartPollInterval );
+    co_return PrepareResult::chooseAgain;
 }
 
-EnsureRequest Exchange::question( const Choice& choice, MonoTime now ) const {
+EnsureRequest Exchange::admissionRequest( const Choice& choice, MonoTime now ) const {
     const auto& generation = *m_need.generation;
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
     const auto goalEnd = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
-    const auto lastEnd = std::min( m_deadline, waitLimit( choice ) );
+    const auto lastEnd = std::min( m_deadline, waitDeadline( choice ) );
     EnsureRequest out;
     out.model = generation.model;
     out.adapter = generation.adapter;
     out.prompt = m_shared.fleet.askedPrompt( m_need );
     out.prompt.goalMs = remaining( now, goalEnd ).count();
-    // Where something has to be loaded first, or others had no room, late is better than never.
-    out.prompt.late = !choice.holdsModel || m_refusals >= inTimeAsks || out.prompt.goalMs == 0;
+    // The prompt may be admitted after the goal if its model has to be loaded first, if other
+    // sidecars could not admit it in time, or if the goal has passed.
+    out.prompt.late =
+        !choice.holdsModel || m_sidecarRefusals >= maxInTimeRequests || out.prompt.goalMs == 0;
     out.limitMs = remaining( now, out.prompt.late ? lastEnd : goalEnd ).count();
     return out;
 }
 
-net::Task<Exchange::Next> Exchange::askSidecar( Choice& choice ) {
-    const auto asked = MonoClock::now();
-    auto request = question( choice, asked );
+net::Task<Exchange::PrepareResult> Exchange::requestAdmission( Choice& choice ) {
+    const auto requestedAt = MonoClock::now();
+    auto request = admissionRequest( choice, requestedAt );
     const bool late = request.prompt.late;
     NodePtr node = choice.node;
     const auto answer = co_await m_shared.fleet.ensure( std::move( node ), std::move( request ) );
-    logAsk( choice, answer, asked );
-    const auto next = followAnswer( choice, answer, late );
+    logAdmission( choice, answer, requestedAt );
+    const auto next = applyAdmissionAnswer( choice, answer, late );
     if( answer.outcome == EnsureOutcome::needStore ) {
-        // Nobody has the model nearer: the weight store's rate lets it in before long.
-        co_await net::pause( m_shared.context, storePoll );
+        // No other engine has a copy of the model: wait until the weight store's rate allows the
+        // load.
+        co_await net::pause( m_shared.context, storePollInterval );
     }
     co_return next;
 }
 
-Exchange::Next Exchange::followAnswer( Choice& choice, const EnsureAnswer& answer, bool late ) {
+Exchange::PrepareResult Exchange::applyAdmissionAnswer( Choice& choice, const EnsureAnswer& answer,
+                                                        bool late ) {
     switch( answer.outcome ) {
     case EnsureOutcome::ready:
-        m_leave.emplace( choice.node, answer );
+        m_promptPermit.emplace( choice.node, answer );
         choice.workMs = answer.workMs;
         choice.unqueued = choice.unqueued && answer.waitMs <= answer.workMs;
-        return Next::send;
+        return PrepareResult::send;
     case EnsureOutcome::needStore:
         m_lastWhy = "model not ready";
         m_retryAfter = modelRetryAfter;
-        return Next::again;
+        return PrepareResult::chooseAgain;
     case EnsureOutcome::later:
-        ++m_refusals;
+        ++m_sidecarRefusals;
         m_lastWhy = "engines are busy";
         m_retryAfter = std::max( Millis( answer.waitMs ), usualRetryAfter );
-        return late ? Next::stop : Next::again;
+        return late ? PrepareResult::giveUp : PrepareResult::chooseAgain;
     case EnsureOutcome::noRoom:
     case EnsureOutcome::failed:
         break;
     }
     m_lastWhy = "model not ready";
     m_retryAfter = modelRetryAfter;
-    return Next::elsewhere;
+    return PrepareResult::chooseAnother;
 }
 
-void Exchange::logAsk( const Choice& choice, const EnsureAnswer& answer, MonoTime since ) const {
+void Exchange::logAdmission( const Choice& choice, const EnsureAnswer& answer,
+                             MonoTime since ) const {
     const auto took = millisBetween( since, MonoClock::now() );
     log::info( "ask", { { "id", m_request.head.requestId },
                         { "upstream", choice.node->upstream.id },
@@ -194,30 +203,30 @@
                         { "took_ms", took } } );
 }
 
-Millis Exchange::paceWait( const Choice& choice, MonoTime now ) const {
-    // Looked at again soon: another upstream may have become the better one.
-    constexpr Millis look{ 25 };
+Millis Exchange::pacingDelay( const Choice& choice, MonoTime now ) const {
+    // The delay is cut into short pauses: another upstream may become the better choice meanwhile.
+    constexpr Millis maxPacingDelay{ 25 };
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
     const auto latest = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
     if( choice.paceMs <= 0 || now >= latest ) {
         return Millis{ 0 };
     }
-    return std::min(
-        { Millis( static_cast<std::int64_t>( choice.paceMs ) ), look, remaining( now, latest ) } );
+    return std::min( { Millis( static_cast<std::int64_t>( choice.paceMs ) ), maxPacingDelay,
+                       remaining( now, latest ) } );
 }
 
-MonoTime Exchange::waitLimit( const Choice& choice ) const {
+MonoTime Exchange::waitDeadline( const Choice& choice ) const {
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    return m_request.arrived + longestWait( m_patience, work );
+    return m_request.arrived + longestWait( m_clientTimeout, work );
 }
 
-bool Exchange::tooLateThere( const Choice& choice, MonoTime now ) {
+bool Exchange::loadTooLate( const Choice& choice, MonoTime now ) {
     const Millis load{ static_cast<std::int64_t>( choice.loadMs ) };
-    if( now + load <= waitLimit( choice ) ) {
+    if( now + load <= waitDeadline( choice ) ) {
         return false;
     }
-    // The client would leave before the load is done. Told so at once it can be back when it is:
-    // the load begins now, for it and for others.
+    // The client would disconnect before the load is done. It is refused at once and can retry when
+    // the load is done, which starts now for this client and others.
     m_lastWhy = "model not ready";
     m_retryAfter = std::max( load, usualRetryAfter );
     if( !choice.holdsModel ) {
--- a/src/gateway/probe_server.cpp
+++ b/src/gateway/probe_server.cpp
@@ -13,10 +13,10 @@
 
 namespace http = boost::beast::http;
 
-//! Probers keep their connections; one that is silent this long is closed.
+//! Idle timeout of a probe's connection: probers keep their connections open between probes.
 constexpr Millis idleLimit{ 10000 };
 
-net::Task<> serveOne( net::Socket socket, ProbeHandler answer ) {
+net::Task<> serveConnection( net::Socket socket, ProbeHandler answer ) {
     boost::beast::flat_buffer buf;
     for( ;; ) {
         net::SocketDeadline deadline( socket, MonoClock::now() + idleLimit );
@@ -25,11 +25,11 @@
         if( readError ) {
             co_return;
         }
-        auto made = answer( { request.target().data(), request.target().size() } );
+        auto reply = answer( { request.target().data(), request.target().size() } );
         http::response<http::string_body> response;
-        response.result( made.status );
+        response.result( reply.status );
         response.keep_alive( request.keep_alive() );
-        response.body() = std::move( made.body );
+        response.body() = std::move( reply.body );
         response.prepare_payload();
         auto [writeError, put] = co_await http::async_write( socket, response, net::tupled );
         if( writeError || !request.keep_alive() ) {
@@ -54,7 +54,7 @@
         if( ec ) {
             continue;
         }
-        auto task = serveOne( net::Socket( std::move( socket ) ), answer );
+        auto task = serveConnection( net::Socket( std::move( socket ) ), answer );
         net::asio::co_spawn( acceptor.get_executor(), std::move( task ), net::asio::detached );
     }
 }
--- a/src/gateway/probe_server.hpp
+++ b/src/gateway/probe_server.hpp
@@ -10,7 +10,7 @@
 
 namespace coursehead::gateway {
 
-//! Answer of a probe: status and text.
+//! Answer to a probe: HTTP status and body.
 struct ProbeAnswer {
     unsigned status = 0;
     std::string body;
@@ -18,10 +18,11 @@
 
 using ProbeHandler = std::function<ProbeAnswer( std::string_view path )>;
 
-//! Answers GET requests on a listener, by path: readiness and metrics. Never returns.
+//! Answers GET requests (readiness, metrics) on a listener through a handler that is given the
+//! path. Never returns.
 net::Task<> serveProbes( net::Acceptor acceptor, ProbeHandler answer );
 
-//! The answer on a metrics address: everything that is measured, or 404 for another path.
+//! Answer of the metrics listener: all metrics for /metrics, 404 for any other path.
 ProbeAnswer metricsAnswer( const metrics::Metrics& metrics, std::string_view path );
 
 } // namespace coursehead::gateway
--- a/src/gateway/route_table.cpp
+++ b/src/gateway/route_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string lowerHost( std::string_view host ) {
+std::string normalisedHost( std::string_view host ) {
     std::string out( host.substr( 0, host.find( ':' ) ) );
     std::transform( out.begin(), out.end(), out.begin(),
                     []( unsigned char c ) { return static_cast<char>( std::tolower( c ) ); } );
@@ -20,7 +20,7 @@
 RouteTable::RouteTable( Configuration configuration )
     : m_configuration( std::move( configuration ) ) {
     for( const auto& it : m_configuration.routes ) {
-        m_hosts[lowerHost( it.host )].push_back( &it );
+        m_hosts[normalisedHost( it.host )].push_back( &it );
         for( const auto& split : it.splits ) {
             if( it.kind == RequestKind::stream && it.gapTarget.count() > 0 ) {
                 auto& target = m_gapTargets.emplace( split.service, it.gapTarget ).first->second;
@@ -41,7 +41,7 @@
 }
 
 const Route* RouteTable::find( std::string_view host, std::string_view target ) const {
-    const auto routes = m_hosts.find( lowerHost( host ) );
+    const auto routes = m_hosts.find( normalisedHost( host ) );
     if( routes == m_hosts.end() ) {
         return nullptr;
     }
@@ -68,12 +68,12 @@
     return it == m_gapTargets.end() ? Millis{ 0 } : it->second;
 }
 
-const Split* pickSplit( const Route& route, double draw ) {
+const Split* pickSplit( const Route& route, double unitRandom ) {
     int total = 0;
     for( const auto& it : route.splits ) {
         total += it.weight;
     }
-    double left = draw * total;
+    double left = unitRandom * total;
     for( const auto& it : route.splits ) {
         left -= it.weight;
         if( left < 0 ) {
--- a/src/gateway/route_table.hpp
+++ b/src/gateway/route_table.hpp
@@ -13,7 +13,7 @@
 
 namespace coursehead::gateway {
 
-//! A configuration with its routes ready for look-up.
+//! A configuration with indices of its routes, keys and gap targets.
 class RouteTable {
 public:
     explicit RouteTable( Configuration configuration );
@@ -21,26 +21,27 @@
     RouteTable& operator=( const RouteTable& ) = delete;
 
     const Configuration& configuration() const noexcept { return m_configuration; }
-    //! The route of a host with the longest prefix that begins the path; null when none fits.
+    //! The route of a host with the longest prefix of the path; null if none matches.
     //! `host` may carry a port; `target` may carry a query.
     const Route* find( std::string_view host, std::string_view target ) const;
     const Service* service( std::string_view name ) const;
-    //! The organisation that a key leads to; null when none has it.
+    //! The organisation that has a key; null if none has it.
     const Organisation* organisationOf( const KeyDigest& key ) const;
-    //! The shortest pause between events that keeps a stream of a service in time; 0 when no route
-    //! sets one.
+    //! The smallest gap target of the routes that send streams to a service; 0 if no route sets
+    //! one.
     Millis gapTarget( std::string_view service ) const;
 
 private:
     Configuration m_configuration;
-    //! By host in lower case; longest prefix first.
+    //! Routes by host in lower case; longest prefix first.
     std::map<std::string, std::vector<const Route*>, std::less<>> m_hosts;
     std::map<std::string, Millis, std::less<>> m_gapTargets; //!< by service
     std::unordered_map<KeyDigest, const Organisation*, KeyDigestHash> m_keys;
 };
 
-//! Picks a service of a route by weight; `draw` in [0, 1). Null when all weights are zero.
-const Split* pickSplit( const Route& route, double draw );
+//! Picks a service of a route by weight; `unitRandom` is a random number in [0, 1). Null if all
+//! weights are zero.
+const Split* pickSplit( const Route& route, double unitRandom );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// One send of a request to an upstream, and the passing on of its answer.
+// One send of a request to an upstream, and the forwarding of its answer to the client.
 #include "coursehead/kernel/log.hpp"
 #include "decide/fingerprint.hpp"
 #include "gateway/exchange.hpp"
@@ -18,19 +18,24 @@
 
 using platform::AnswerClass;
 
-constexpr unsigned firstError = 300;
+constexpr unsigned firstNonSuccessStatus = 300;
 constexpr unsigned firstServerError = 500;
 
-//! A connection within the deployment comes up within some milliseconds, or the upstream is gone.
-constexpr Millis connectLimit{ 400 };
-//! Unacknowledged bytes are given up after this: a partitioned upstream shows no other sign.
-constexpr Millis upstreamSilence{ 2000 };
-//! Usual time of an answer beside the work that was estimated: round trips and a first step.
+//! Connections within the deployment open within some milliseconds; after this timeout the upstream
+//! counts as unreachable.
+constexpr Millis connectTimeout{ 400 };
+//! An upstream connection is dropped when sent bytes stay unacknowledged for this long: nothing
+//! else shows that an upstream is partitioned from the gateway.
+constexpr Millis upstreamUnackedTimeout{ 2000 };
+//! Typical time of an answer in addition to the estimated work: round trips and a first engine
+//! step.
 constexpr double overheadMs = 75;
-//! A refusal weighs less than a failure: the upstream is full, not broken.
+//! Weight of a refusal in an upstream's health, where a failure weighs 1: the upstream is full, not
+//! broken.
 constexpr double refusalWeight = 0.5;
-//! Answers of plain services are passed on whole; larger ones than this are refused.
-constexpr std::uint64_t maxWholeAnswer = 16U << 20U;
+//! Limit on the body of an answer that is not a stream: it is held in memory until it is complete,
+//! and a larger one fails the send.
+constexpr std::uint64_t maxBufferedAnswerBytes = 16U << 20U;
 constexpr std::string_view chunkedFraming = "Transfer-Encoding: chunked\r\n";
 
 bool upstreamFailed( unsigned status ) {
@@ -40,15 +45,16 @@
 } // namespace
 
 int Exchange::urgency() const {
-    // Rank first, then the time there is: a request with a long goal can wait for a short one.
+    // The priority decides first, then the goal: a request with a long goal can wait for one with a
+    // short goal.
     constexpr std::int64_t longGoalMs = 2000;
-    constexpr int step = 2;
-    constexpr int last = 9;
-    // An organisation's rank takes the place of its routes' own.
+    constexpr int urgencyStep = 2;
+    constexpr int maxUrgency = 9;
+    // An organisation's priority overrides the route's.
     const bool ranked = m_organisation != nullptr && m_organisation->priority;
     const int priority = ranked ? *m_organisation->priority : m_route->priority;
-    const int base = 1 + step * priority;
-    return std::min( base + ( m_route->goal.count() > longGoalMs ? step : 0 ), last );
+    const int base = 1 + urgencyStep * priority;
+    return std::min( base + ( m_route->goal.count() > longGoalMs ? urgencyStep : 0 ), maxUrgency );
 }
 
 std::string Exchange::requestBytes( const Node& node ) const {
@@ -82,22 +88,22 @@
 
 net::Task<ConnectionPtr> Exchange::connectionTo( Node& node ) {
     const auto now = MonoClock::now();
-    auto kept = node.pool.take( now );
-    if( kept ) {
-        co_return kept;
+    auto pooled = node.pool.take( now );
+    if( pooled ) {
+        co_return pooled;
     }
     auto out = std::make_shared<UpstreamConnection>( m_shared.context );
     m_client->upstream = out;
     net::ErrorCode ec;
     const auto to = net::endpointOf( node.upstream.ip, node.upstream.port, ec );
-    const auto limit = std::min( connectLimit, remaining( now, m_deadline ) );
+    const auto limit = std::min( connectTimeout, remaining( now, m_deadline ) );
     ec = co_await net::connect( out->socket, to, limit );
     if( ec ) {
         co_return nullptr;
     }
-    net::tune( out->socket, upstreamSilence );
-    // A request that is given up must not run when its bytes lie with a frozen upstream: nine did,
-    // up to two seconds after their clients had left.
+    net::tune( out->socket, upstreamUnackedTimeout );
+    // A request that was given up must not run later because its bytes are still queued at a frozen
+    // upstream: without the reset requests ran up to 2 s after their clients had disconnected.
     net::resetOnClose( out->socket );
     co_return out;
 }
@@ -126,32 +132,32 @@
     const bool generates = m_need.generation != nullptr && node->engine != nullptr;
     auto connection = co_await connectionTo( *node );
     auto now = MonoClock::now();
-    if( hasLeft( *m_client ) || !timeLeft( now ) ) {
+    if( checkDisconnected( *m_client ) || !hasTimeLeft( now ) ) {
         out.end = SendEnd::stopped;
         co_return out;
     }
     if( !connection ) {
         noteUnreachable( node->health, now );
         out.end = SendEnd::notRun;
-        out.why = "connect failed";
+        out.failure = "connect failed";
         log::info( "connect_failed",
                    { { "id", m_request.head.requestId }, { "upstream", node->upstream.id } } );
         co_return out;
     }
-    if( !node->takesRequestsNow( now ) ) {
-        // It said so while the connection was opened.
-        if( now < connection->goodUntil ) {
+    if( !node->isAvailable( now ) ) {
+        // The upstream stopped taking requests while the connection was opened.
+        if( now < connection->reusableUntil ) {
             node->pool.put( connection );
         }
         out.end = SendEnd::notRun;
-        out.why = "upstream takes no requests";
+        out.failure = "upstream takes no requests";
         co_return out;
     }
-    if( m_leave ) {
-        m_leave->use();
+    if( m_promptPermit ) {
+        m_promptPermit->use();
     }
-    if( m_room ) {
-        m_room->use();
+    if( m_limitPermit ) {
+        m_limitPermit->use();
     }
     ++m_sends;
     m_expectedMs = choice.expectedMs;
@@ -170,7 +176,7 @@
         ++m_runs;
     }
     judgeContent( node, out, now );
-    if( out.end == SendEnd::stopped || m_client->left ) {
+    if( out.end == SendEnd::stopped || m_client->disconnected ) {
         out.end = SendEnd::stopped;
         m_mayHaveRun = true;
         co_return out;
@@ -181,7 +187,7 @@
                    { { "id", m_request.head.requestId },
                      { "fingerprint", decide::fingerprintText( m_fingerprint ) },
                      { "upstream", node->upstream.id },
-                     { "why", out.why },
+                     { "why", out.failure },
                      { "sent_ms", millisBetween( m_sentAt, now ) },
                      { "events_ms", m_heardAt ? millisBetween( *m_heardAt, now ) : -1 },
                      { "beside", node->inFlight },
@@ -192,7 +198,7 @@
         noteFailure( node->health, refusalWeight, now );
         log::info( "send_refused", { { "id", m_request.head.requestId },
                                      { "upstream", node->upstream.id },
-                                     { "why", out.why } } );
+                                     { "why", out.failure } } );
     }
     co_return out;
 }
@@ -209,32 +215,32 @@
     const auto [error, n] = co_await http::async_read_header(
         transfer.connection->socket, transfer.connection->buf, parser, net::tupled );
     if( error ) {
-        out.broke = !ended( transfer );
+        out.broke = !isAborted( transfer );
         out.end = out.broke ? SendEnd::lost : SendEnd::stopped;
-        out.why = error.message();
+        out.failure = error.message();
         transfer.close();
         co_return out;
     }
     node.lastHeard = MonoClock::now();
     const auto status = parser.get().result_int();
     transfer.head = platform::readAnswerHead( status, parser.get() );
-    hearAnnouncement( transfer );
+    noteAnnouncement( transfer );
     const bool ran = transfer.head.answerClass == AnswerClass::complete;
     if( ran && transfer.head.requestId != m_request.head.requestId ) {
-        // An answer to an earlier request: what follows on this connection can't be trusted.
-        out.why = "answer to another request";
+        // The answer belongs to an earlier request: the connection can't be trusted any more.
+        out.failure = "answer to another request";
         transfer.close();
         co_return out;
     }
     const bool streams =
         ran && transfer.head.sealed && status == statusOk && m_route->kind == RequestKind::stream;
     if( streams ) {
-        co_return co_await passStream( transfer );
+        co_return co_await forwardStream( transfer );
     }
-    co_return co_await takeWhole( transfer );
+    co_return co_await receiveBuffered( transfer );
 }
 
-void Exchange::hearAnnouncement( const Transfer& transfer ) {
+void Exchange::noteAnnouncement( const Transfer& transfer ) {
     const auto& head = transfer.head;
     Node& node = transfer.node;
     if( !head.badField.empty() ) {
@@ -257,11 +263,11 @@
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
     }
     const auto now = MonoClock::now();
-    node.hear( said, m_shared.fleet.gateways(), now );
-    hearLimit( transfer, now );
+    node.takeAnnouncement( said, m_shared.fleet.gateways(), now );
+    noteAnnouncedLimit( transfer, now );
 }
 
-void Exchange::hearLimit( const Transfer& transfer, MonoTime now ) {
+void Exchange::noteAnnouncedLimit( const Transfer& transfer, MonoTime now ) {
     const auto& said = transfer.head.announcement;
     Node& node = transfer.node;
     if( said.limit == decide::LimitSaid::named ) {
@@ -273,7 +279,7 @@
         }
         return;
     }
-    // An answer that is left over from another request may be of any age.
+    // An answer to another request may be old, so it does not show that the limit has ended.
     const bool own = transfer.head.requestId == m_request.head.requestId;
     const bool none = own && said.limit == decide::LimitSaid::none;
     if( none && node.limit.known.noteNone( transfer.sentAt, now ) ) {
@@ -282,11 +288,11 @@
     }
 }
 
-bool Exchange::ended( const Transfer& transfer ) const {
-    return transfer.deadline.expired() || m_client->left;
+bool Exchange::isAborted( const Transfer& transfer ) const {
+    return transfer.deadline.expired() || m_client->disconnected;
 }
 
-net::Task<Exchange::Sent> Exchange::passStream( Transfer& transfer ) {
+net::Task<Exchange::Sent> Exchange::forwardStream( Transfer& transfer ) {
     Sent out;
     EventCutter cutter( m_lastEvent );
     if( !m_headSent ) {
@@ -318,9 +324,11 @@
         }
         if( ec || !sound || transfer.parser.is_done() ) {
             const auto broken = m_headSent ? SendEnd::streamCut : SendEnd::lost;
-            out.end = ended( transfer ) ? SendEnd::stopped : broken;
-            out.broke = ec && !ended( transfer );
-            out.why = !sound ? "events out of order" : ec ? ec.message() : "cut inside an event";
+            out.end = isAborted( transfer ) ? SendEnd::stopped : broken;
+            out.broke = ec && !isAborted( transfer );
+            out.failure = !sound ? "events out of order"
+                          : ec   ? ec.message()
+                                 : "cut inside an event";
             if( !m_headSent ) {
                 m_answer.reset();
             }
@@ -348,20 +356,20 @@
     return out;
 }
 
-net::Task<Exchange::Sent> Exchange::takeWhole( Transfer& transfer ) {
+net::Task<Exchange::Sent> Exchange::receiveBuffered( Transfer& transfer ) {
     Sent out;
     auto whole = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
         const auto [bytes, ec] = co_await transfer.readBody();
         whole.body.append( bytes );
-        if( ec || whole.body.size() > maxWholeAnswer ) {
-            out.why = ec ? ec.message() : "answer too large";
+        if( ec || whole.body.size() > maxBufferedAnswerBytes ) {
+            out.failure = ec ? ec.message() : "answer too large";
             break;
         }
         complete = transfer.parser.is_done();
     }
-    const bool late = ended( transfer );
+    const bool late = isAborted( transfer );
     transfer.release( complete );
     const auto& head = transfer.head;
     if( !head.actualUpstream.empty() && head.actualUpstream != transfer.node.upstream.id ) {
@@ -369,25 +377,25 @@
     }
     if( head.answerClass != AnswerClass::complete ) {
         out.end = SendEnd::notRun;
-        out.why = "status " + std::to_string( whole.status );
+        out.failure = "status " + std::to_string( whole.status );
         co_return out;
     }
     if( !complete ) {
         out.end = late ? SendEnd::stopped : SendEnd::lost;
-        out.broke = !late && whole.body.size() <= maxWholeAnswer;
+        out.broke = !late && whole.body.size() <= maxBufferedAnswerBytes;
         co_return out;
     }
-    if( !head.sealed && whole.status < firstError ) {
-        out.why = "unsigned answer";
+    if( !head.sealed && whole.status < firstNonSuccessStatus ) {
+        out.failure = "unsigned answer";
         co_return out;
     }
-    out.end = judge( transfer, whole.status );
-    out.why = "status " + std::to_string( whole.status );
+    out.end = outcomeOfAnswer( transfer, whole.status );
+    out.failure = "status " + std::to_string( whole.status );
     m_answer = std::move( whole );
     co_return out;
 }
 
-Exchange::SendEnd Exchange::judge( Transfer& transfer, unsigned status ) {
+Exchange::SendEnd Exchange::outcomeOfAnswer( Transfer& transfer, unsigned status ) {
     if( upstreamFailed( status ) ) {
         const bool again = m_route->idempotent() && m_runs + 1 < m_route->attempts;
         return again ? SendEnd::lost : SendEnd::answered;
@@ -402,8 +410,8 @@
 void Exchange::noteEvents( Transfer& transfer ) {
     const auto now = MonoClock::now();
     transfer.node.lastHeard = now;
-    if( !transfer.heardEvents ) {
-        transfer.heardEvents = true;
+    if( !transfer.receivedEvents ) {
+        transfer.receivedEvents = true;
         m_heardAt = now;
         transfer.inFlight.prefillDone();
         const auto measured = static_cast<double>( millisBetween( transfer.sentAt, now ) );
@@ -413,13 +421,13 @@
         transfer.node.slowStart.noteServed();
         noteSuccess( transfer.node.health, measured, transfer.choice.expectedMs + overheadMs, now );
     }
-    if( m_firstEvent ) {
+    if( m_timeToFirstEvent ) {
         const auto pause = std::chrono::duration_cast<Millis>( now - m_lastEventAt );
         m_longestPause = std::max( m_longestPause, pause );
     } else {
-        m_firstEvent = std::chrono::duration_cast<Millis>( now - m_request.arrived );
+        m_timeToFirstEvent = std::chrono::duration_cast<Millis>( now - m_request.arrived );
         m_shared.metrics.observe( metrics::Series::firstToken, m_route->name, m_service,
-                                  static_cast<double>( m_firstEvent->count() ) );
+                                  static_cast<double>( m_timeToFirstEvent->count() ) );
     }
     m_lastEventAt = now;
 }
--- a/src/gateway/transfer.cpp
+++ b/src/gateway/transfer.cpp
@@ -10,19 +10,21 @@
 
 namespace {
 
-//! An idle connection is used again within this when the upstream states no time of its own;
-//! longer than pauses of a busy gateway, shorter than any server's idle limit.
-constexpr Millis defaultIdle{ 3000 };
-//! An upstream's stated idle time is cut by this, so that a request never crosses its close.
+//! How long an idle connection may be reused when the upstream announces no idle timeout: longer
+//! than the pauses between requests of a busy gateway, shorter than the idle timeout of any
+//! upstream.
+constexpr Millis defaultIdleTimeout{ 3000 };
+//! An upstream's announced idle timeout is reduced by this, so that no request is sent while the
+//! upstream closes the connection.
 constexpr Millis idleMargin{ 900 };
-constexpr std::size_t readBytes = 16U << 10U;
+constexpr std::size_t readBufferBytes = 16U << 10U;
 
 std::string_view view( boost::beast::string_view text ) {
     return { text.data(), text.size() };
 }
 
-//! Seconds from a Keep-Alive field's timeout; zero when there are none.
-Millis statedIdle( const http::fields& fields ) {
+//! Timeout of a Keep-Alive field, which is in seconds; zero if there is none.
+Millis announcedIdleTimeout( const http::fields& fields ) {
     const auto it = fields.find( http::field::keep_alive );
     if( it == fields.end() ) {
         return Millis{ 0 };
@@ -36,21 +38,23 @@
     return std::chrono::seconds( std::atoi( std::string( text.substr( at + prefix ) ).c_str() ) );
 }
 
-MonoTime reuseUntil( const http::fields& fields, MonoTime now ) {
-    const auto stated = statedIdle( fields );
-    if( stated.count() == 0 ) {
-        return now + defaultIdle;
+MonoTime reuseDeadline( const http::fields& fields, MonoTime now ) {
+    const auto announced = announcedIdleTimeout( fields );
+    if( announced.count() == 0 ) {
+        return now + defaultIdleTimeout;
     }
-    return now + std::max( stated - idleMargin, Millis{ 0 } );
+    return now + std::max( announced - idleMargin, Millis{ 0 } );
 }
 
 } // namespace
 
-Transfer::Transfer( Node& to, ConnectionPtr over, const Choice& by, const Generation* generation,
-                    MonoTime until )
-    : node( to ), connection( std::move( over ) ), choice( by ), sentAt( MonoClock::now() ),
-      inFlight( to, generation != nullptr ? by.workMs : 0, generation ),
-      deadline( connection->socket, until ), buf( readBytes, '\0' ) {}
+Transfer::Transfer( Node& targetNode, ConnectionPtr upstreamConnection,
+                    const Choice& upstreamChoice, const Generation* generation,
+                    MonoTime sendDeadline )
+    : node( targetNode ), connection( std::move( upstreamConnection ) ), choice( upstreamChoice ),
+      sentAt( MonoClock::now() ),
+      inFlight( targetNode, generation != nullptr ? upstreamChoice.workMs : 0, generation ),
+      deadline( connection->socket, sendDeadline ), buf( readBufferBytes, '\0' ) {}
 
 void Transfer::close() {
     net::ErrorCode ec;
@@ -92,12 +96,12 @@
     }
     deadline.cancel();
     const auto now = MonoClock::now();
-    connection->goodUntil = reuseUntil( parser.get().base(), now );
+    connection->reusableUntil = reuseDeadline( parser.get().base(), now );
     node.pool.put( connection );
 }
 
-WholeAnswer Transfer::answerHead() const {
-    WholeAnswer out;
+BufferedAnswer Transfer::answerHead() const {
+    BufferedAnswer out;
     out.status = parser.get().result_int();
     out.reason = std::string( view( parser.get().reason() ) );
     out.fields = parser.get().base();
--- a/src/gateway/transfer.hpp
+++ b/src/gateway/transfer.hpp
@@ -14,11 +14,11 @@
 
 namespace coursehead::gateway {
 
-//! Undoes the counting of a request at a node, on every way out.
-class InFlight {
+//! Counts a request as in flight at a node; the destructor removes it from the counts.
+class InFlightCount {
 public:
     //! `generation` is null for plain services.
-    InFlight( Node& node, double prefillMs, const Generation* generation )
+    InFlightCount( Node& node, double prefillMs, const Generation* generation )
         : m_node( node ), m_prefillMs( prefillMs ) {
         ++m_node.inFlight;
         if( generation != nullptr ) {
@@ -32,7 +32,7 @@
             m_node.prefillMs += m_prefillMs;
         }
     }
-    ~InFlight() {
+    ~InFlightCount() {
         --m_node.inFlight;
         prefillDone();
         for( const auto& it : m_keys ) {
@@ -42,8 +42,8 @@
             }
         }
     }
-    InFlight( const InFlight& ) = delete;
-    InFlight& operator=( const InFlight& ) = delete;
+    InFlightCount( const InFlightCount& ) = delete;
+    InFlightCount& operator=( const InFlightCount& ) = delete;
 
     void prefillDone() {
         if( m_prefillMs > 0 ) {
@@ -61,42 +61,43 @@
 
     Node& m_node;
     double m_prefillMs;
-    std::vector<std::string> m_keys; //!< under which it is counted in Node::running
+    std::vector<std::string> m_keys; //!< its keys in Node::running
 };
 
-//! The request's bytes while they are written; shared with the write's handler.
+//! The request's bytes during the write; shared with the write's handler.
 struct WriteState {
     std::string bytes;
     bool done = false;
 };
 
-//! A request on its way to one upstream, with the answer as far as it has come.
+//! One send of a request to an upstream, with the part of the answer that was read so far.
 struct Transfer {
     //! `generation` is null for plain services.
-    Transfer( Node& to, ConnectionPtr over, const Choice& by, const Generation* generation,
-              MonoTime until );
+    Transfer( Node& targetNode, ConnectionPtr upstreamConnection, const Choice& upstreamChoice,
+              const Generation* generation, MonoTime sendDeadline );
 
     Node& node;
     ConnectionPtr connection;
     const Choice& choice;
     MonoTime sentAt;
-    InFlight inFlight;
+    InFlightCount inFlight;
     net::SocketDeadline deadline;
     std::shared_ptr<WriteState> write = std::make_shared<WriteState>();
     http::response_parser<http::buffer_body> parser;
     platform::AnswerHead head;
-    bool heardEvents = false;
-    std::string buf; //!< the part of the body that was read last
+    bool receivedEvents = false;
+    std::string buf; //!< the part of the body that was last read
 
     void close();
-    //! Writes the request while its answer is read: an upstream may answer before it has read all.
+    //! Starts an asynchronous write of the request, so that the answer is read at the same time: an
+    //! upstream may answer before it has read the complete request.
     void startWrite( std::string bytes );
-    //! Reads some of the body into `buf`; the bytes, and the error that ended the reading.
+    //! Reads a part of the body into `buf`. Returns the bytes and the error that ended the reading.
     net::Task<std::pair<std::string_view, net::ErrorCode>> readBody();
-    //! Keeps the connection for the next request, if nothing speaks against it.
+    //! Returns the connection to the pool if it can serve another request; closes it otherwise.
     void release( bool complete );
-    //! The answer's head, without a body.
-    WholeAnswer answerHead() const;
+    //! The answer's status and fields, without a body.
+    BufferedAnswer answerHead() const;
 };
 
 } // namespace coursehead::gateway
