--- a/src/gateway/access.hpp
+++ b/src/gateway/access.hpp
@@ -22,12 +22,12 @@
 };
 
 /**
- * Checks a request's key against the configuration in force. `current`: the gateway receives
- * changes of the configuration. While it does not, an unknown key may have been added since: the
- * verdict is then `undecided`, and the client is told to retry.
+ * Checks a request's key against the configuration in force. `configurationUpToDate`: the gateway
+ * receives changes of the configuration. While it does not, an unknown key may have been added
+ * since: the verdict is then `undecided`, and the client is told to retry.
  */
-Access accessOf( const RouteTable& table, const Route& route, const std::optional<KeyDigest>& key,
-                 bool current );
+Access checkAccess( const RouteTable& table, const Route& route,
+                    const std::optional<KeyDigest>& key, bool configurationUpToDate );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -38,7 +38,7 @@
     if( ec == http::error::header_limit ) {
         return statusHeaderTooLarge;
     }
-    return ec == http::error::body_limit ? statusTooLarge : statusBadRequest;
+    return ec == http::error::body_limit ? statusContentTooLarge : statusBadRequest;
 }
 
 net::Task<> refuse( net::Socket& socket, unsigned status ) {
@@ -73,7 +73,7 @@
     ClientRequest request;
 };
 
-ClientLimits limitsOf( const Shared& shared ) {
+ClientLimits limitsOf( const SharedState& shared ) {
     if( shared.table ) {
         return shared.table->configuration().limits;
     }
@@ -94,7 +94,7 @@
 
 //! True when the head alone shows that the request is denied for its key: the body is not read
 //! then.
-bool deniedByHead( const Shared& shared, const http::request_header<>& head,
+bool deniedByHead( const SharedState& shared, const http::request_header<>& head,
                    const std::optional<KeyDigest>& key ) {
     if( !shared.table ) {
         return false;
@@ -104,11 +104,12 @@
     const auto* route = shared.table->find( std::string_view( host.data(), host.size() ),
                                             std::string_view( target.data(), target.size() ) );
     return route != nullptr &&
-           accessOf( *shared.table, *route, key, shared.current ).verdict == AccessVerdict::denied;
+           checkAccess( *shared.table, *route, key, shared.configurationUpToDate ).verdict ==
+               AccessVerdict::denied;
 }
 
 net::Task<ReadResult> readRequest( net::Socket& socket, boost::beast::flat_buffer& buf,
-                                   const ClientLimits& limits, const Shared& shared ) {
+                                   const ClientLimits& limits, const SharedState& shared ) {
     ReadResult out;
     const auto arrived = MonoClock::now();
     http::request_parser<http::string_body> parser;
@@ -116,11 +117,12 @@
     parser.body_limit( limits.bodyBytes );
     net::ErrorCode failure;
     {
-        net::SocketDeadline deadline( socket, arrived + limits.headerTime, net::WhenDue::cancel );
+        net::SocketDeadline deadline( socket, arrived + limits.headerTime,
+                                      net::DeadlineAction::cancel );
         auto [ec, n] = co_await http::async_read_header( socket, buf, parser, net::tupled );
         failure = ec;
         if( deadline.expired() ) {
-            out.refusal = statusTimeout;
+            out.refusal = statusRequestTimeout;
             co_return out;
         }
     }
@@ -172,8 +174,8 @@
 
 } // namespace
 
-net::Task<> serveClient( net::Socket socket, Shared& shared ) {
-    net::tune( socket, clientUnackedTimeout );
+net::Task<> serveClient( net::Socket socket, SharedState& shared ) {
+    net::configureSocket( socket, clientUnackedTimeout );
     boost::beast::flat_buffer buf;
     for( ;; ) {
         const auto limits = limitsOf( shared );
--- a/src/gateway/event_stream.hpp
+++ b/src/gateway/event_stream.hpp
@@ -10,10 +10,10 @@
 namespace coursehead::gateway {
 
 //! Splits a text/event-stream into complete events and checks that their ids are consecutive.
-class EventCutter {
+class EventStreamSplitter {
 public:
     //! `last`: id of the event before the first one of the stream, if known.
-    explicit EventCutter( std::optional<std::uint64_t> last ) : m_last( last ) {}
+    explicit EventStreamSplitter( std::optional<std::uint64_t> last ) : m_last( last ) {}
 
     //! Adds bytes of the stream and appends the events that are complete to `out`. False if an
     //! event repeats or skips an id: the rest of the stream can't be trusted.
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -5,13 +5,13 @@
 #include "coursehead/kernel/random.hpp"
 #include "coursehead/metrics/metrics.hpp"
 #include "gateway/client_end.hpp"
+#include "gateway/client_timeouts.hpp"
 #include "gateway/event_stream.hpp"
 #include "gateway/fleet.hpp"
 #include "gateway/limit_client.hpp"
-#include "gateway/patience.hpp"
 #include "gateway/poison_guard.hpp"
+#include "gateway/prompt_permit.hpp"
 #include "gateway/quota_client.hpp"
-#include "gateway/reading_leave.hpp"
 #include "gateway/retry_window.hpp"
 #include "platform/headers.hpp"
 #include "platform/node_settings.hpp"
@@ -29,7 +29,7 @@
 namespace http = boost::beast::http;
 
 //! State of the gateway process that all requests share.
-struct Shared {
+struct SharedState {
     net::asio::io_context& context;
     Fleet& fleet;
     RandomSource& random;
@@ -44,8 +44,8 @@
     MonoTime started = MonoClock::now(); //!< start of this process
     bool listed = true;                  //!< the list of upstreams is known
     int waitingForStart =
-        0;               //!< requests that wait until the configuration and the upstreams are known
-    bool current = true; //!< this gateway receives changes of the configuration
+        0; //!< requests that wait until the configuration and the upstreams are known
+    bool configurationUpToDate = true; //!< this gateway receives changes of the configuration
     bool draining = false;
     MonoTime stopAt{}; //!< when draining: the process stops at the latest then
     bool pastHandover =
@@ -81,7 +81,7 @@
 //! yet: about the duration of a load or of a store outage.
 inline constexpr Millis modelRetryAfter{ 1000 };
 //! Retry-After of other refusals, unless an upstream stated a time.
-inline constexpr Millis usualRetryAfter{ 300 };
+inline constexpr Millis defaultRetryAfter{ 300 };
 //! Interval at which a request checks again whether the gateway has received what the request waits
 //! for: the configuration and the upstreams, or a sidecar's first report.
 inline constexpr Millis startPollInterval{ 10 };
@@ -101,7 +101,7 @@
 //! Serves one request: chooses upstreams, sends the request, retries, and answers the client.
 class Exchange {
 public:
-    Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientConnection> client,
+    Exchange( SharedState& shared, ClientRequest request, std::shared_ptr<ClientConnection> client,
               bool clientKeepsAlive );
     ~Exchange();
     Exchange( const Exchange& ) = delete;
@@ -111,7 +111,7 @@
 
 private:
     //! Outcome of one send to an upstream.
-    enum class SendEnd {
+    enum class SendOutcome {
         answered,  //!< m_answer holds the complete answer
         streamed,  //!< the complete stream was written to the client
         notRun,    //!< the upstream did not run the request and never will
@@ -119,10 +119,10 @@
         streamCut, //!< the stream broke after a part of it was written to the client
         stopped,   //!< the client disconnected or the deadline passed
     };
-    struct Sent {
-        SendEnd end = SendEnd::lost;
+    struct SendResult {
+        SendOutcome end = SendOutcome::lost;
         std::string failure;
-        bool broke = false; //!< the upstream's connection broke while the request ran
+        bool connectionBroke = false; //!< the upstream's connection broke while the request ran
     };
 
     //! Next step after the preparation of a send to the chosen upstream.
@@ -147,10 +147,10 @@
     net::Task<bool> refuseQuarantined();
     //! True unless the request's content is quarantined, or is on trial after a quarantine and was
     //! sent already.
-    bool maySend();
+    bool contentMayBeSent();
     //! Reports to the poison guard whether the request completed or broke its upstream's
     //! connection.
-    void judgeContent( const NodePtr& node, const Sent& sent, MonoTime now );
+    void recordPoisonEvidence( const NodePtr& node, const SendResult& sent, MonoTime now );
     net::Task<> forward();
     //! Sets failure text and Retry-After when no upstream can be chosen.
     void noteNoUpstream( const Choice& choice );
@@ -170,12 +170,12 @@
     net::Task<bool> renewLimitPermit( const Choice& choice );
     //! Drops the permits for the chosen upstream; unused ones are returned.
     void dropPermits();
-    net::Task<Sent> sendTo( NodePtr node, const Choice& choice );
+    net::Task<SendResult> sendTo( NodePtr node, const Choice& choice );
     net::Task<ConnectionPtr> connectionTo( Node& node );
-    net::Task<Sent> receive( Node& node, ConnectionPtr connection, const Choice& choice );
-    net::Task<Sent> forwardStream( Transfer& transfer );
-    net::Task<Sent> receiveBuffered( Transfer& transfer );
-    SendEnd outcomeOfAnswer( Transfer& transfer, unsigned status );
+    net::Task<SendResult> receive( Node& node, ConnectionPtr connection, const Choice& choice );
+    net::Task<SendResult> forwardStream( Transfer& transfer );
+    net::Task<SendResult> receiveBuffered( Transfer& transfer );
+    SendOutcome outcomeOfAnswer( Transfer& transfer, unsigned status );
     //! Records what the answer's header fields announce about the upstream that sent it.
     void noteAnnouncement( const Transfer& transfer );
     void noteAnnouncedLimit( const Transfer& transfer, MonoTime now );
@@ -183,7 +183,7 @@
     std::string streamText( std::string_view events, bool finished );
     net::Task<bool> writeClient( std::string bytes );
     net::Task<> sendBufferedAnswer( const BufferedAnswer& answer );
-    net::Task<> answerOwn( unsigned status, std::string reason, Millis retryAfter );
+    net::Task<> sendOwnAnswer( unsigned status, std::string reason, Millis retryAfter );
     net::Task<> answerFailure();
     std::string requestBytes( const Node& node ) const;
     bool keepsAlive() const { return m_keepAlive && !m_shared.draining; }
@@ -196,13 +196,13 @@
     //! model in that case, and sets the refusal's failure text and Retry-After.
     bool loadTooLate( const Choice& choice, MonoTime now );
     int urgency() const;
-    bool mayRetry( const Sent& sent );
+    bool mayRetry( const SendResult& sent );
     bool hasTimeLeft( MonoTime now ) const { return now < m_deadline; }
     void logSend( const Node& node, const Choice& choice, MonoTime now ) const;
     void noteEvents( Transfer& transfer );
     void logEnd( std::string_view outcome ) const;
 
-    Shared& m_shared;
+    SharedState& m_shared;
     std::shared_ptr<const RouteTable> m_table; //!< in force when the request arrived
     ClientRequest m_request;
     std::shared_ptr<ClientConnection> m_client;
@@ -212,22 +212,22 @@
     double m_charged = 0;                         //!< units charged to the organisation's quota
     decide::Fingerprint m_fingerprint = 0; //!< of the request's content; equal for each retry
     std::string m_service;
-    Need m_need;
+    RequestNeeds m_need;
     std::vector<std::uint64_t> m_prefix;
-    Patience m_clientTimeout;
+    ClientTimeouts m_clientTimeout;
     MonoTime m_deadline;
     std::set<std::string> m_excluded; //!< upstreams that this request is not sent to any more
     int m_sidecarRefusals = 0;        //!< sidecars that could not admit the prompt within the goal
-    std::optional<ReadingLeave>
+    std::optional<PromptPermit>
         m_promptPermit; //!< admission of the prompt by the chosen upstream's sidecar
-    std::optional<LimitLeave> m_limitPermit; //!< permit under the chosen upstream's limit
-    MonoTime m_limitPermitAt;                //!< when the limit's permit was obtained
-    int m_sends = 0;                         //!< sends over an open connection to an upstream
-    MonoTime m_sentAt;                       //!< time of the last send
-    std::optional<MonoTime> m_heardAt;       //!< first event of the last send
-    int m_runs = 0;                          //!< sends that the upstream may have run
+    std::optional<LimitPermit> m_limitPermit; //!< permit under the chosen upstream's limit
+    MonoTime m_limitPermitAt;                 //!< when the limit's permit was obtained
+    int m_sends = 0;                          //!< sends over an open connection to an upstream
+    MonoTime m_sentAt;                        //!< time of the last send
+    std::optional<MonoTime> m_firstEventAt;   //!< first event of the last send
+    int m_runs = 0;                           //!< sends that the upstream may have run
     bool m_mayHaveRun = false;
-    std::string m_lastWhy;
+    std::string m_lastFailure;
     Millis m_retryAfter{ 0 };
     std::optional<BufferedAnswer> m_answer; //!< an upstream's answer, not yet written to the
                                             //!< client; a failure is kept in case a retry fails
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -49,8 +49,9 @@
         m_shared.quota = &m_quota;
         m_shared.limits = &m_limits;
         m_shared.poison = &m_poison;
-        m_fleet.onLimits(
-            [this]( const decide::LimitNews& news ) { m_limits.take( news, MonoClock::now() ); } );
+        m_fleet.onLimitUpdate( [this]( const decide::LimitUpdate& news ) {
+            m_limits.applyUpdate( news, MonoClock::now() );
+        } );
         m_shared.listed = false;
         m_clientAcceptor = std::make_unique<net::Acceptor>(
             net::listen( m_context, m_settings.front.ip, m_settings.front.port ) );
@@ -115,8 +116,8 @@
         }
     }
 
-    FeedHandlers feedHandlers() {
-        FeedHandlers out;
+    StoreFeedHandlers feedHandlers() {
+        StoreFeedHandlers out;
         out.configuration = [this]( std::string_view json ) {
             applyConfiguration( json );
         };
@@ -124,7 +125,7 @@
             syncFleet();
         };
         out.quarantines = [this]( std::span<const decide::Quarantine> entries ) {
-            m_poison.take( entries, "store" );
+            m_poison.applyUpdate( entries, "store" );
         };
         out.evacuations = [this]( const std::set<std::string>& halls ) {
             m_fleet.setEvacuations( halls, MonoClock::now() );
@@ -199,7 +200,7 @@
             m_quota.tick( now );
             m_limits.tick( now );
             m_shared.listed = m_feed.upstreamsListed();
-            m_shared.current = m_feed.configurationCurrent();
+            m_shared.configurationUpToDate = m_feed.configurationCurrent();
             if( now - m_settingsCheckedAt >= settingsCheckInterval ) {
                 m_settingsCheckedAt = now;
                 if( m_settingsWatch.changed() ) {
@@ -237,7 +238,7 @@
             constexpr Millis step{ 20 };
             if( !m_shared.sendsStopped && MonoClock::now() >= limit - lastSendMargin ) {
                 m_shared.sendsStopped = true;
-                m_fleet.abandonWaits();
+                m_fleet.cancelModelWaits();
             }
             co_await net::pause( m_context, step );
         }
@@ -274,7 +275,7 @@
     metrics::Metrics m_metrics;
     Fleet m_fleet;
     Registry m_registry;
-    Shared m_shared;
+    SharedState m_shared;
     QuotaClient m_quota;
     LimitClient m_limits;
     PoisonGuard m_poison;
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -5,7 +5,7 @@
 #include "decide/announcement.hpp"
 #include "decide/backoff.hpp"
 #include "decide/cold_gate.hpp"
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "gateway/connection_pool.hpp"
 #include "gateway/health.hpp"
 #include "gateway/messages.hpp"
@@ -32,9 +32,9 @@
         : upstream( std::move( listed ) ), addedAt( now ), prefixes( 0 ) {}
 
     Upstream upstream;
-    MonoTime addedAt;     //!< when this gateway learnt of the upstream
-    Born toldBorn = 0;    //!< start of the upstream, as last sent to its sidecar
-    SpecTextPtr toldSpec; //!< engine description that was last sent to its sidecar
+    MonoTime addedAt;                 //!< when this gateway learnt of the upstream
+    StartTime bornSentToSidecar = 0;  //!< start of the upstream, as last sent to its sidecar
+    EncodedSpecPtr specSentToSidecar; //!< engine description that was last sent to its sidecar
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
     Millis gapTarget{ 0 };                    //!< gap target of the service's streams; 0: none
     ConnectionPool pool;
@@ -44,14 +44,14 @@
     std::shared_ptr<SidecarLink> sidecar; //!< null for plain services
     std::optional<SidecarReport> report;  //!< last report of the sidecar
     MonoTime reportAt;
-    bool engineReachable = true;     //!< by the sidecar's last report
-    bool common = false;             //!< all gateways are connected to its sidecar
-    decide::Announcements announced; //!< announcements in the upstream's answers
-    decide::LimitState limit;        //!< limit on the requests of all gateways together
-    decide::SlowStart slowStart;     //!< limits requests in flight after a back-off
-    decide::ColdGate cold;           //!< limits the request rate while the upstream is cold
-    double coldPerS = 0;             //!< requests a second allowed while cold; 0: no rule
-    Millis coldTime{ 0 };            //!< how long upstreams of this service stay cold after a start
+    bool engineReachable = true;         //!< by the sidecar's last report
+    bool connectedToAllGateways = false; //!< all gateways are connected to its sidecar
+    decide::AnnouncedState announced;    //!< announcements in the upstream's answers
+    decide::LimitState limit;            //!< limit on the requests of all gateways together
+    decide::SlowStart slowStart;         //!< limits requests in flight after a back-off
+    decide::ColdGate cold;               //!< limits the request rate while the upstream is cold
+    double coldPerS = 0;                 //!< requests a second allowed while cold; 0: no rule
+    Millis coldDuration{ 0 }; //!< how long upstreams of this service stay cold after a start
     bool replaced = false; //!< another upstream has its address; the store's entry will be removed
     bool gone = false;     //!< no longer in the fleet
     std::optional<MonoTime> leavesAt; //!< announced time by which the upstream will have ended
@@ -59,7 +59,7 @@
     int inFlight = 0;
     int prefilling = 0;       //!< requests in flight without a first event yet
     double prefillMs = 0;     //!< estimated prompt reading time of those requests
-    MonoTime lastHeard;       //!< last time that bytes arrived over any of its connections
+    MonoTime lastReceivedAt;  //!< last time that bytes arrived over any of its connections
     double readingWaitMs = 0; //!< until the engine could begin with a prompt, by its sidecar
     MonoTime readingWaitAt;   //!< when the sidecar sent that value
     std::map<std::string, MonoTime>
@@ -71,7 +71,7 @@
 
     //! Discards what was known of the earlier start, after the upstream has started again under its
     //! id. Requests in flight stay counted until they end.
-    void beginAnew( Born born, MonoTime now );
+    void resetForRestart( StartTime born, MonoTime now );
     //! True if the upstream is about to end, by the store's entry or by its own announcement. The
     //! announcement arrives some hundred milliseconds earlier, and also when the store is down.
     bool leaving() const { return upstream.state != UpstreamState::ready || announced.leaving(); }
@@ -92,7 +92,7 @@
     }
     bool reportFresh( MonoTime now ) const;
     //! True while the sidecar's first report may still arrive: resident models are not known yet.
-    bool awaitsReport( MonoTime now ) const;
+    bool awaitsFirstReport( MonoTime now ) const;
     //! Limits on the prompt reading that this gateway may request of the engine.
     ReadingBudget::Limits readingLimits( MonoTime now ) const;
     //! Resident models and adapters: by the sidecar's report if fresh, else by the store's entry.
@@ -100,7 +100,7 @@
     bool holdsModel( std::string_view model, MonoTime now ) const;
     bool holdsAdapter( std::string_view model, std::string_view adapter, MonoTime now ) const;
     //! Resident models and models that requests are in flight for.
-    std::set<std::string> modelsOfInterest( MonoTime now ) const;
+    std::set<std::string> modelsHeldOrInFlight( MonoTime now ) const;
     //! Records the parts of a prompt that is sent to the engine.
     void notePrompt( std::span<const std::uint64_t> keys, const Generation& generation );
     //! The upstream stays cold for this much longer.
@@ -111,9 +111,9 @@
     //! Sets how long the engine needs until it could begin with a prompt, by the sidecar.
     void takeReadingWait( double waitMs, MonoTime now );
     //! Remaining part of that time, in milliseconds.
-    double readingWait( MonoTime now ) const;
+    double readingWaitLeft( MonoTime now ) const;
     //! True if prompts are sent only after the sidecar has admitted them.
-    bool asksSidecar( MonoTime now ) const;
+    bool sidecarAdmitsPrompts( MonoTime now ) const;
     //! Number of this gateway's requests in flight for a model, or for MODEL/NAME.
     int runningOf( std::string_view key ) const;
     //! Adapters of a model with requests in flight, or sent since the last demand message.
--- a/src/gateway/prepare.cpp
+++ b/src/gateway/prepare.cpp
@@ -34,21 +34,21 @@
     }
     const auto now = MonoClock::now();
     const auto link = choice.node->sidecar;
-    if( link && link->untried( now ) && hasTimeLeft( now ) ) {
-        const bool reached = co_await link->opened( sidecarConnectLimit );
+    if( link && link->reachabilityUnknown( now ) && hasTimeLeft( now ) ) {
+        const bool reached = co_await link->waitUntilOpen( sidecarConnectLimit );
         if( reached ) {
             co_return PrepareResult::chooseAgain;
         }
     }
     const bool holds = choice.holdsModel && choice.holdsAdapter;
-    if( !holds && choice.node->awaitsReport( now ) && hasTimeLeft( now ) ) {
+    if( !holds && choice.node->awaitsFirstReport( now ) && hasTimeLeft( now ) ) {
         co_await net::pause( m_shared.context, startPollInterval );
         co_return PrepareResult::chooseAgain;
     }
     if( !holds && loadTooLate( choice, now ) ) {
         co_return PrepareResult::giveUp;
     }
-    if( choice.node->asksSidecar( now ) ) {
+    if( choice.node->sidecarAdmitsPrompts( now ) ) {
         co_return co_await requestAdmission( choice );
     }
     // Without a sidecar no load can be ordered, and this gateway limits prompt reading by its own
@@ -58,7 +58,7 @@
         co_await net::pause( m_shared.context, wait );
         co_return PrepareResult::chooseAgain;
     }
-    m_lastWhy = holds ? m_lastWhy : "model not ready";
+    m_lastFailure = holds ? m_lastFailure : "model not ready";
     co_return holds ? admitWithoutSidecar( *choice.node ) : PrepareResult::chooseAnother;
 }
 
@@ -71,7 +71,7 @@
     const auto share = unsupervisedShare * node.coldPerS / std::max( m_shared.fleet.gateways(), 1 );
     const auto wait = node.cold.wait( share, now );
     if( wait.count() > 0 ) {
-        m_lastWhy = "upstreams are cold";
+        m_lastFailure = "upstreams are cold";
         m_retryAfter = std::max( m_retryAfter, std::min( wait, modelRetryAfter ) );
         return PrepareResult::chooseAnother;
     }
@@ -121,8 +121,8 @@
 
 net::Task<Exchange::PrepareResult> Exchange::waitForSlowStart( const Choice& choice ) {
     if( MonoClock::now() + slowStartPollInterval > waitDeadline( choice ) ) {
-        m_lastWhy = "upstreams are back from a back-off, and busy";
-        m_retryAfter = usualRetryAfter;
+        m_lastFailure = "upstreams are back from a back-off, and busy";
+        m_retryAfter = defaultRetryAfter;
         co_return PrepareResult::giveUp;
     }
     co_await net::pause( m_shared.context, slowStartPollInterval );
@@ -132,12 +132,12 @@
 EnsureRequest Exchange::admissionRequest( const Choice& choice, MonoTime now ) const {
     const auto& generation = *m_need.generation;
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    const auto goalEnd = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
+    const auto goalEnd = m_request.arrived + maxWaitBeforeSend( { m_route->goal, {}, {} }, work );
     const auto lastEnd = std::min( m_deadline, waitDeadline( choice ) );
     EnsureRequest out;
     out.model = generation.model;
     out.adapter = generation.adapter;
-    out.prompt = m_shared.fleet.askedPrompt( m_need );
+    out.prompt = m_shared.fleet.describePrompt( m_need );
     out.prompt.goalMs = remaining( now, goalEnd ).count();
     // The prompt may be admitted after the goal if its model has to be loaded first, if other
     // sidecars could not admit it in time, or if the goal has passed.
@@ -155,7 +155,7 @@
     const auto answer = co_await m_shared.fleet.ensure( std::move( node ), std::move( request ) );
     logAdmission( choice, answer, requestedAt );
     const auto next = applyAdmissionAnswer( choice, answer, late );
-    if( answer.outcome == EnsureOutcome::needStore ) {
+    if( answer.outcome == EnsureOutcome::needsWeightStore ) {
         // No other engine has a copy of the model: wait until the weight store's rate allows the
         // load.
         co_await net::pause( m_shared.context, storePollInterval );
@@ -171,20 +171,20 @@
         choice.workMs = answer.workMs;
         choice.unqueued = choice.unqueued && answer.waitMs <= answer.workMs;
         return PrepareResult::send;
-    case EnsureOutcome::needStore:
-        m_lastWhy = "model not ready";
+    case EnsureOutcome::needsWeightStore:
+        m_lastFailure = "model not ready";
         m_retryAfter = modelRetryAfter;
         return PrepareResult::chooseAgain;
-    case EnsureOutcome::later:
+    case EnsureOutcome::tooLate:
         ++m_sidecarRefusals;
-        m_lastWhy = "engines are busy";
-        m_retryAfter = std::max( Millis( answer.waitMs ), usualRetryAfter );
+        m_lastFailure = "engines are busy";
+        m_retryAfter = std::max( Millis( answer.waitMs ), defaultRetryAfter );
         return late ? PrepareResult::giveUp : PrepareResult::chooseAgain;
-    case EnsureOutcome::noRoom:
+    case EnsureOutcome::noCapacity:
     case EnsureOutcome::failed:
         break;
     }
-    m_lastWhy = "model not ready";
+    m_lastFailure = "model not ready";
     m_retryAfter = modelRetryAfter;
     return PrepareResult::chooseAnother;
 }
@@ -207,17 +207,17 @@
     // The delay is cut into short pauses: another upstream may become the better choice meanwhile.
     constexpr Millis maxPacingDelay{ 25 };
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    const auto latest = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
-    if( choice.paceMs <= 0 || now >= latest ) {
+    const auto latest = m_request.arrived + maxWaitBeforeSend( { m_route->goal, {}, {} }, work );
+    if( choice.sendDelayMs <= 0 || now >= latest ) {
         return Millis{ 0 };
     }
-    return std::min( { Millis( static_cast<std::int64_t>( choice.paceMs ) ), maxPacingDelay,
+    return std::min( { Millis( static_cast<std::int64_t>( choice.sendDelayMs ) ), maxPacingDelay,
                        remaining( now, latest ) } );
 }
 
 MonoTime Exchange::waitDeadline( const Choice& choice ) const {
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    return m_request.arrived + longestWait( m_clientTimeout, work );
+    return m_request.arrived + maxWaitBeforeSend( m_clientTimeout, work );
 }
 
 bool Exchange::loadTooLate( const Choice& choice, MonoTime now ) {
@@ -227,8 +227,8 @@
     }
     // The client would disconnect before the load is done. It is refused at once and can retry when
     // the load is done, which starts now for this client and others.
-    m_lastWhy = "model not ready";
-    m_retryAfter = std::max( load, usualRetryAfter );
+    m_lastFailure = "model not ready";
+    m_retryAfter = std::max( load, defaultRetryAfter );
     if( !choice.holdsModel ) {
         m_shared.fleet.startLoad( choice.node, m_request.head.generation->model );
     }
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -101,7 +101,7 @@
     if( ec ) {
         co_return nullptr;
     }
-    net::tune( out->socket, upstreamUnackedTimeout );
+    net::configureSocket( out->socket, upstreamUnackedTimeout );
     // A request that was given up must not run later because its bytes are still queued at a frozen
     // upstream: without the reset requests ran up to 2 s after their clients had disconnected.
     net::resetOnClose( out->socket );
@@ -127,18 +127,18 @@
                  { "left_ms", millisBetween( now, m_deadline ) } } );
 }
 
-net::Task<Exchange::Sent> Exchange::sendTo( NodePtr node, const Choice& choice ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::sendTo( NodePtr node, const Choice& choice ) {
+    SendResult out;
     const bool generates = m_need.generation != nullptr && node->engine != nullptr;
     auto connection = co_await connectionTo( *node );
     auto now = MonoClock::now();
     if( checkDisconnected( *m_client ) || !hasTimeLeft( now ) ) {
-        out.end = SendEnd::stopped;
+        out.end = SendOutcome::stopped;
         co_return out;
     }
     if( !connection ) {
         noteUnreachable( node->health, now );
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.failure = "connect failed";
         log::info( "connect_failed",
                    { { "id", m_request.head.requestId }, { "upstream", node->upstream.id } } );
@@ -149,7 +149,7 @@
         if( now < connection->reusableUntil ) {
             node->pool.put( connection );
         }
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.failure = "upstream takes no requests";
         co_return out;
     }
@@ -163,7 +163,7 @@
     m_expectedMs = choice.expectedMs;
     m_client->upstream = connection;
     m_sentAt = now;
-    m_heardAt.reset();
+    m_firstEventAt.reset();
     logSend( *node, choice, now );
     if( generates ) {
         node->notePrompt( m_prefix, *m_need.generation );
@@ -172,16 +172,16 @@
     out = co_await receive( *node, connection, choice );
     now = MonoClock::now();
     m_client->upstream.reset();
-    if( out.end != SendEnd::notRun ) {
+    if( out.end != SendOutcome::notRun ) {
         ++m_runs;
     }
-    judgeContent( node, out, now );
-    if( out.end == SendEnd::stopped || m_client->disconnected ) {
-        out.end = SendEnd::stopped;
+    recordPoisonEvidence( node, out, now );
+    if( out.end == SendOutcome::stopped || m_client->disconnected ) {
+        out.end = SendOutcome::stopped;
         m_mayHaveRun = true;
         co_return out;
     }
-    if( out.end == SendEnd::lost || out.end == SendEnd::streamCut ) {
+    if( out.end == SendOutcome::lost || out.end == SendOutcome::streamCut ) {
         noteFailure( node->health, 1.0, now );
         log::info( "send_failed",
                    { { "id", m_request.head.requestId },
@@ -189,12 +189,12 @@
                      { "upstream", node->upstream.id },
                      { "why", out.failure },
                      { "sent_ms", millisBetween( m_sentAt, now ) },
-                     { "events_ms", m_heardAt ? millisBetween( *m_heardAt, now ) : -1 },
+                     { "events_ms", m_firstEventAt ? millisBetween( *m_firstEventAt, now ) : -1 },
                      { "beside", node->inFlight },
-                     { "cut_stream", out.end == SendEnd::streamCut ? "yes" : "no" },
+                     { "cut_stream", out.end == SendOutcome::streamCut ? "yes" : "no" },
                      { "after_ms", millisBetween( m_request.arrived, now ) } } );
     }
-    if( out.end == SendEnd::notRun ) {
+    if( out.end == SendOutcome::notRun ) {
         noteFailure( node->health, refusalWeight, now );
         log::info( "send_refused", { { "id", m_request.head.requestId },
                                      { "upstream", node->upstream.id },
@@ -203,9 +203,9 @@
     co_return out;
 }
 
-net::Task<Exchange::Sent> Exchange::receive( Node& node, ConnectionPtr connection,
-                                             const Choice& choice ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::receive( Node& node, ConnectionPtr connection,
+                                                   const Choice& choice ) {
+    SendResult out;
     Transfer transfer( node, std::move( connection ), choice, m_need.generation,
                        m_deadline - answerMargin );
     auto& parser = transfer.parser;
@@ -215,13 +215,13 @@
     const auto [error, n] = co_await http::async_read_header(
         transfer.connection->socket, transfer.connection->buf, parser, net::tupled );
     if( error ) {
-        out.broke = !isAborted( transfer );
-        out.end = out.broke ? SendEnd::lost : SendEnd::stopped;
+        out.connectionBroke = !isAborted( transfer );
+        out.end = out.connectionBroke ? SendOutcome::lost : SendOutcome::stopped;
         out.failure = error.message();
         transfer.close();
         co_return out;
     }
-    node.lastHeard = MonoClock::now();
+    node.lastReceivedAt = MonoClock::now();
     const auto status = parser.get().result_int();
     transfer.head = platform::readAnswerHead( status, parser.get() );
     noteAnnouncement( transfer );
@@ -270,7 +270,7 @@
 void Exchange::noteAnnouncedLimit( const Transfer& transfer, MonoTime now ) {
     const auto& said = transfer.head.announcement;
     Node& node = transfer.node;
-    if( said.limit == decide::LimitSaid::named ) {
+    if( said.limit == decide::LimitAnnouncement::named ) {
         m_shared.metrics.count( "upstream_limits" );
         if( node.limit.known.noteNamed( said.limitPerS, now ) ) {
             log::info( "upstream_limit", { { "id", m_request.head.requestId },
@@ -281,7 +281,7 @@
     }
     // An answer to another request may be old, so it does not show that the limit has ended.
     const bool own = transfer.head.requestId == m_request.head.requestId;
-    const bool none = own && said.limit == decide::LimitSaid::none;
+    const bool none = own && said.limit == decide::LimitAnnouncement::none;
     if( none && node.limit.known.noteNone( transfer.sentAt, now ) ) {
         log::info( "upstream_limit_ended",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
@@ -292,9 +292,9 @@
     return transfer.deadline.expired() || m_client->disconnected;
 }
 
-net::Task<Exchange::Sent> Exchange::forwardStream( Transfer& transfer ) {
-    Sent out;
-    EventCutter cutter( m_lastEvent );
+net::Task<Exchange::SendResult> Exchange::forwardStream( Transfer& transfer ) {
+    SendResult out;
+    EventStreamSplitter cutter( m_lastEvent );
     if( !m_headSent ) {
         m_answer = transfer.answerHead();
     }
@@ -311,21 +311,21 @@
             auto text = streamText( events, finished );
             const bool written = co_await writeClient( std::move( text ) );
             if( !written ) {
-                out.end = SendEnd::stopped;
+                out.end = SendOutcome::stopped;
                 transfer.close();
                 co_return out;
             }
         }
         if( finished ) {
-            out.end = SendEnd::streamed;
+            out.end = SendOutcome::streamed;
             m_answered = true;
             transfer.release( true );
             co_return out;
         }
         if( ec || !sound || transfer.parser.is_done() ) {
-            const auto broken = m_headSent ? SendEnd::streamCut : SendEnd::lost;
-            out.end = isAborted( transfer ) ? SendEnd::stopped : broken;
-            out.broke = ec && !isAborted( transfer );
+            const auto broken = m_headSent ? SendOutcome::streamCut : SendOutcome::lost;
+            out.end = isAborted( transfer ) ? SendOutcome::stopped : broken;
+            out.connectionBroke = ec && !isAborted( transfer );
             out.failure = !sound ? "events out of order"
                           : ec   ? ec.message()
                                  : "cut inside an event";
@@ -356,8 +356,8 @@
     return out;
 }
 
-net::Task<Exchange::Sent> Exchange::receiveBuffered( Transfer& transfer ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::receiveBuffered( Transfer& transfer ) {
+    SendResult out;
     auto whole = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
@@ -376,13 +376,13 @@
         transfer.node.replaced = true;
     }
     if( head.answerClass != AnswerClass::complete ) {
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.failure = "status " + std::to_string( whole.status );
         co_return out;
     }
     if( !complete ) {
-        out.end = late ? SendEnd::stopped : SendEnd::lost;
-        out.broke = !late && whole.body.size() <= maxBufferedAnswerBytes;
+        out.end = late ? SendOutcome::stopped : SendOutcome::lost;
+        out.connectionBroke = !late && whole.body.size() <= maxBufferedAnswerBytes;
         co_return out;
     }
     if( !head.sealed && whole.status < firstNonSuccessStatus ) {
@@ -395,24 +395,24 @@
     co_return out;
 }
 
-Exchange::SendEnd Exchange::outcomeOfAnswer( Transfer& transfer, unsigned status ) {
+Exchange::SendOutcome Exchange::outcomeOfAnswer( Transfer& transfer, unsigned status ) {
     if( upstreamFailed( status ) ) {
         const bool again = m_route->idempotent() && m_runs + 1 < m_route->attempts;
-        return again ? SendEnd::lost : SendEnd::answered;
+        return again ? SendOutcome::lost : SendOutcome::answered;
     }
     const auto now = MonoClock::now();
     transfer.node.slowStart.noteServed();
     noteSuccess( transfer.node.health, static_cast<double>( millisBetween( transfer.sentAt, now ) ),
                  transfer.choice.expectedMs + overheadMs, now );
-    return SendEnd::answered;
+    return SendOutcome::answered;
 }
 
 void Exchange::noteEvents( Transfer& transfer ) {
     const auto now = MonoClock::now();
-    transfer.node.lastHeard = now;
+    transfer.node.lastReceivedAt = now;
     if( !transfer.receivedEvents ) {
         transfer.receivedEvents = true;
-        m_heardAt = now;
+        m_firstEventAt = now;
         transfer.inFlight.prefillDone();
         const auto measured = static_cast<double>( millisBetween( transfer.sentAt, now ) );
         if( m_need.generation != nullptr ) {
