--- a/src/gateway/access.cpp
+++ b/src/gateway/access.cpp
@@ -3,8 +3,8 @@
 
 namespace coursehead::gateway {
 
-Access checkAccess( const RouteTable& table, const Route& route,
-                    const std::optional<KeyDigest>& key, bool configurationUpToDate ) {
+AccessResult checkAccess( const RouteTable& table, const Route& route,
+                          const std::optional<KeyDigest>& key, bool configurationUpToDate ) {
     if( !table.configuration().keyed || route.keyless ) {
         return {};
     }
--- a/src/gateway/access.hpp
+++ b/src/gateway/access.hpp
@@ -16,7 +16,7 @@
     undecided, //!< the key may belong to a newer configuration that this gateway has not received
 };
 
-struct Access {
+struct AccessResult {
     AccessVerdict verdict = AccessVerdict::allowed;
     const Organisation* organisation = nullptr; //!< null where no key is needed
 };
@@ -26,8 +26,8 @@
  * receives changes of the configuration. While it does not, an unknown key may have been added
  * since: the verdict is then `undecided`, and the client is told to retry.
  */
-Access checkAccess( const RouteTable& table, const Route& route,
-                    const std::optional<KeyDigest>& key, bool configurationUpToDate );
+AccessResult checkAccess( const RouteTable& table, const Route& route,
+                          const std::optional<KeyDigest>& key, bool configurationUpToDate );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -63,7 +63,7 @@
     if( !charged ) {
         co_return ExchangeResult{ m_keepAlive };
     }
-    m_clientTimeout = clientTimeoutsOf( *m_route, m_request.head.deadline );
+    m_clientTimeouts = clientTimeoutsOf( *m_route, m_request.head.deadline );
     if( m_request.head.generation ) {
         m_prefix = prefixKeys( *m_request.head.generation );
         m_need.generation = &*m_request.head.generation;
@@ -102,7 +102,7 @@
 }
 
 net::Task<> Exchange::forward() {
-    bool counted = false;
+    bool demandCounted = false;
     for( int round = 0; round < m_route->attempts + extraRounds; ++round ) {
         auto now = MonoClock::now();
         if( checkDisconnected( *m_client ) || m_shared.sendsStopped || !hasTimeLeft( now ) ) {
@@ -114,8 +114,8 @@
             break;
         }
         auto& retries = m_shared.retries[m_service];
-        if( !counted ) {
-            counted = true;
+        if( !demandCounted ) {
+            demandCounted = true;
             retries.countFirstSend( now );
             m_shared.fleet.countDemand( m_need, choice );
         }
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -43,15 +43,12 @@
     PoisonGuard* poison = nullptr;       //!< null: no request is quarantined
     MonoTime started = MonoClock::now(); //!< start of this process
     bool listed = true;                  //!< the list of upstreams is known
-    int waitingForStart =
-        0; //!< requests that wait until the configuration and the upstreams are known
-    bool configurationUpToDate = true; //!< this gateway receives changes of the configuration
+    int waitingForStart = 0;             //!< requests that wait for configuration and upstreams
+    bool configurationUpToDate = true;   //!< this gateway receives changes of the configuration
     bool draining = false;
-    MonoTime stopAt{}; //!< when draining: the process stops at the latest then
-    bool pastHandover =
-        false; //!< when draining: clients have had the time to switch to another gateway
-    bool sendsStopped =
-        false; //!< the process is about to stop: no request is sent to an upstream any more
+    MonoTime stopAt{};         //!< when draining: the process stops at the latest then
+    bool pastHandover = false; //!< when draining: clients had time to switch to another gateway
+    bool sendsStopped = false; //!< the process is about to stop and sends no further requests
     std::set<net::Socket*> idleClients{}; //!< client connections without a request in progress
 };
 
@@ -214,18 +211,17 @@
     std::string m_service;
     RequestNeeds m_need;
     std::vector<std::uint64_t> m_prefix;
-    ClientTimeouts m_clientTimeout;
+    ClientTimeouts m_clientTimeouts;
     MonoTime m_deadline;
     std::set<std::string> m_excluded; //!< upstreams that this request is not sent to any more
     int m_sidecarRefusals = 0;        //!< sidecars that could not admit the prompt within the goal
-    std::optional<PromptPermit>
-        m_promptPermit; //!< admission of the prompt by the chosen upstream's sidecar
-    std::optional<LimitPermit> m_limitPermit; //!< permit under the chosen upstream's limit
-    MonoTime m_limitPermitAt;                 //!< when the limit's permit was obtained
-    int m_sends = 0;                          //!< sends over an open connection to an upstream
-    MonoTime m_sentAt;                        //!< time of the last send
-    std::optional<MonoTime> m_firstEventAt;   //!< first event of the last send
-    int m_runs = 0;                           //!< sends that the upstream may have run
+    std::optional<PromptPermit> m_promptPermit; //!< from the chosen upstream's sidecar
+    std::optional<LimitPermit> m_limitPermit;   //!< permit under the chosen upstream's limit
+    MonoTime m_limitPermitAt;                   //!< when the limit's permit was obtained
+    int m_sends = 0;                            //!< sends over an open connection to an upstream
+    MonoTime m_sentAt;                          //!< time of the last send
+    std::optional<MonoTime> m_firstEventAt;     //!< first event of the last send
+    int m_runs = 0;                             //!< sends that the upstream may have run
     bool m_mayHaveRun = false;
     std::string m_lastFailure;
     Millis m_retryAfter{ 0 };
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -49,8 +49,8 @@
         m_shared.quota = &m_quota;
         m_shared.limits = &m_limits;
         m_shared.poison = &m_poison;
-        m_fleet.onLimitUpdate( [this]( const decide::LimitUpdate& news ) {
-            m_limits.applyUpdate( news, MonoClock::now() );
+        m_fleet.onLimitUpdate( [this]( const decide::LimitUpdate& update ) {
+            m_limits.applyUpdate( update, MonoClock::now() );
         } );
         m_shared.listed = false;
         m_clientAcceptor = std::make_unique<net::Acceptor>(
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -63,11 +63,10 @@
     double readingWaitMs = 0; //!< until the engine could begin with a prompt, by its sidecar
     MonoTime readingWaitAt;   //!< when the sidecar sent that value
     std::map<std::string, MonoTime>
-        loading; //!< models that this gateway waits for, with the start of the wait
-    std::vector<SentPart> sentParts;    //!< shared prompt parts sent since the last demand message
+        loading;                     //!< models that this gateway waits for, with the wait's start
+    std::vector<SentPart> sentParts; //!< shared prompt parts sent since the last demand message
     std::set<std::string> adaptersUsed; //!< MODEL/NAME sent since the last demand message
-    std::map<std::string, int, std::less<>>
-        running; //!< requests in flight by MODEL and by MODEL/NAME
+    std::map<std::string, int, std::less<>> running; //!< in flight, by MODEL and by MODEL/NAME
 
     //! Discards what was known of the earlier start, after the upstream has started again under its
     //! id. Requests in flight stay counted until they end.
--- a/src/gateway/prepare.cpp
+++ b/src/gateway/prepare.cpp
@@ -14,7 +14,7 @@
 //! further engine is a worse choice.
 constexpr int maxInTimeRequests = 2;
 //! Timeout for the connection to a sidecar and its first message; they take some milliseconds.
-constexpr Millis sidecarConnectLimit{ 150 };
+constexpr Millis sidecarConnectTimeout{ 150 };
 //! Interval at which a request checks again whether the slow start after a back-off allows the
 //! upstream one more request.
 constexpr Millis slowStartPollInterval{ 25 };
@@ -35,7 +35,7 @@
     const auto now = MonoClock::now();
     const auto link = choice.node->sidecar;
     if( link && link->reachabilityUnknown( now ) && hasTimeLeft( now ) ) {
-        const bool reached = co_await link->waitUntilOpen( sidecarConnectLimit );
+        const bool reached = co_await link->waitUntilOpen( sidecarConnectTimeout );
         if( reached ) {
             co_return PrepareResult::chooseAgain;
         }
@@ -133,7 +133,7 @@
     const auto& generation = *m_need.generation;
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
     const auto goalEnd = m_request.arrived + maxWaitBeforeSend( { m_route->goal, {}, {} }, work );
-    const auto lastEnd = std::min( m_deadline, waitDeadline( choice ) );
+    const auto latestEnd = std::min( m_deadline, waitDeadline( choice ) );
     EnsureRequest out;
     out.model = generation.model;
     out.adapter = generation.adapter;
@@ -143,7 +143,7 @@
     // sidecars could not admit it in time, or if the goal has passed.
     out.prompt.late =
         !choice.holdsModel || m_sidecarRefusals >= maxInTimeRequests || out.prompt.goalMs == 0;
-    out.limitMs = remaining( now, out.prompt.late ? lastEnd : goalEnd ).count();
+    out.limitMs = remaining( now, out.prompt.late ? latestEnd : goalEnd ).count();
     return out;
 }
 
@@ -217,7 +217,7 @@
 
 MonoTime Exchange::waitDeadline( const Choice& choice ) const {
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    return m_request.arrived + maxWaitBeforeSend( m_clientTimeout, work );
+    return m_request.arrived + maxWaitBeforeSend( m_clientTimeouts, work );
 }
 
 bool Exchange::loadTooLate( const Choice& choice, MonoTime now ) {
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -51,8 +51,8 @@
     constexpr int urgencyStep = 2;
     constexpr int maxUrgency = 9;
     // An organisation's priority overrides the route's.
-    const bool ranked = m_organisation != nullptr && m_organisation->priority;
-    const int priority = ranked ? *m_organisation->priority : m_route->priority;
+    const bool hasOwnPriority = m_organisation != nullptr && m_organisation->priority;
+    const int priority = hasOwnPriority ? *m_organisation->priority : m_route->priority;
     const int base = 1 + urgencyStep * priority;
     return std::min( base + ( m_route->goal.count() > longGoalMs ? urgencyStep : 0 ), maxUrgency );
 }
@@ -70,10 +70,10 @@
         head.urgency = urgency();
     }
     head.lastEventId = m_lastEvent;
-    const auto own = platform::takeSendHead( head, fields );
+    const auto systemFields = platform::takeSendHead( head, fields );
     std::string out = m_request.method + " " + m_request.target + " HTTP/1.1\r\n";
     appendForwarded( out, fields );
-    appendForwarded( out, own );
+    appendForwarded( out, systemFields );
     const bool hasBody =
         !m_request.body.empty() ||
         m_request.fields.find( http::field::content_length ) != m_request.fields.end() ||
@@ -247,42 +247,44 @@
         log::warn( "announcement_unreadable",
                    { { "upstream", node.upstream.id }, { "field", head.badField } } );
     }
-    const bool byAnother = !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
-    if( byAnother ) {
+    const bool fromAnotherUpstream =
+        !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
+    if( fromAnotherUpstream ) {
         return;
     }
-    const auto& said = head.announcement;
-    if( said.backoff ) {
+    const auto& received = head.announcement;
+    if( received.backoff ) {
         m_shared.metrics.count( "upstream_backoffs" );
         log::info( "upstream_backoff", { { "id", m_request.head.requestId },
                                          { "upstream", node.upstream.id },
-                                         { "backoff_ms", said.backoff->count() } } );
+                                         { "backoff_ms", received.backoff->count() } } );
     }
-    if( said.leaving && !node.announced.leaving() ) {
+    if( received.leaving && !node.announced.leaving() ) {
         log::info( "upstream_says_it_leaves",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
     }
     const auto now = MonoClock::now();
-    node.takeAnnouncement( said, m_shared.fleet.gateways(), now );
+    node.takeAnnouncement( received, m_shared.fleet.gateways(), now );
     noteAnnouncedLimit( transfer, now );
 }
 
 void Exchange::noteAnnouncedLimit( const Transfer& transfer, MonoTime now ) {
-    const auto& said = transfer.head.announcement;
+    const auto& received = transfer.head.announcement;
     Node& node = transfer.node;
-    if( said.limit == decide::LimitAnnouncement::named ) {
+    if( received.limit == decide::LimitAnnouncement::named ) {
         m_shared.metrics.count( "upstream_limits" );
-        if( node.limit.known.noteNamed( said.limitPerS, now ) ) {
-            log::info( "upstream_limit", { { "id", m_request.head.requestId },
-                                           { "upstream", node.upstream.id },
-                                           { "limit_per_s", log::decimal( said.limitPerS ) } } );
+        if( node.limit.known.noteNamed( received.limitPerS, now ) ) {
+            log::info( "upstream_limit",
+                       { { "id", m_request.head.requestId },
+                         { "upstream", node.upstream.id },
+                         { "limit_per_s", log::decimal( received.limitPerS ) } } );
         }
         return;
     }
     // An answer to another request may be old, so it does not show that the limit has ended.
-    const bool own = transfer.head.requestId == m_request.head.requestId;
-    const bool none = own && said.limit == decide::LimitAnnouncement::none;
-    if( none && node.limit.known.noteNone( transfer.sentAt, now ) ) {
+    const bool answersThisRequest = transfer.head.requestId == m_request.head.requestId;
+    const bool noLimit = answersThisRequest && received.limit == decide::LimitAnnouncement::none;
+    if( noLimit && node.limit.known.noteNone( transfer.sentAt, now ) ) {
         log::info( "upstream_limit_ended",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
     }
@@ -294,20 +296,20 @@
 
 net::Task<Exchange::SendResult> Exchange::forwardStream( Transfer& transfer ) {
     SendResult out;
-    EventStreamSplitter cutter( m_lastEvent );
+    EventStreamSplitter splitter( m_lastEvent );
     if( !m_headSent ) {
         m_answer = transfer.answerHead();
     }
     for( ;; ) {
         const auto [bytes, ec] = co_await transfer.readBody();
         std::string events;
-        const bool sound = cutter.feed( bytes, events );
-        const bool finished = !ec && sound && transfer.parser.is_done() && cutter.atBoundary();
-        if( sound && !events.empty() ) {
+        const bool inOrder = splitter.feed( bytes, events );
+        const bool finished = !ec && inOrder && transfer.parser.is_done() && splitter.atBoundary();
+        if( inOrder && !events.empty() ) {
             noteEvents( transfer );
-            m_lastEvent = cutter.last();
+            m_lastEvent = splitter.last();
         }
-        if( sound && ( !events.empty() || finished ) ) {
+        if( inOrder && ( !events.empty() || finished ) ) {
             auto text = streamText( events, finished );
             const bool written = co_await writeClient( std::move( text ) );
             if( !written ) {
@@ -322,13 +324,13 @@
             transfer.release( true );
             co_return out;
         }
-        if( ec || !sound || transfer.parser.is_done() ) {
+        if( ec || !inOrder || transfer.parser.is_done() ) {
             const auto broken = m_headSent ? SendOutcome::streamCut : SendOutcome::lost;
             out.end = isAborted( transfer ) ? SendOutcome::stopped : broken;
             out.connectionBroke = ec && !isAborted( transfer );
-            out.failure = !sound ? "events out of order"
-                          : ec   ? ec.message()
-                                 : "cut inside an event";
+            out.failure = !inOrder ? "events out of order"
+                          : ec     ? ec.message()
+                                   : "cut inside an event";
             if( !m_headSent ) {
                 m_answer.reset();
             }
--- a/src/gateway/transfer.cpp
+++ b/src/gateway/transfer.cpp
@@ -88,9 +88,9 @@
 }
 
 void Transfer::release( bool complete ) {
-    const bool sound = complete && parser.keep_alive() && !parser.need_eof() && write->done &&
-                       connection->buf.size() == 0;
-    if( !sound || deadline.expired() ) {
+    const bool reusable = complete && parser.keep_alive() && !parser.need_eof() && write->done &&
+                          connection->buf.size() == 0;
+    if( !reusable || deadline.expired() ) {
         close();
         return;
     }
