--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// One send of a request to an upstream, and the passing on of its answer.
+// One send of a request to an upstream, and the forwarding of its answer to the client.
 #include "coursehead/kernel/log.hpp"
 #include "decide/fingerprint.hpp"
 #include "gateway/exchange.hpp"
@@ -18,19 +18,24 @@
 
 using platform::AnswerClass;
 
-constexpr unsigned firstError = 300;
+constexpr unsigned firstNonSuccessStatus = 300;
 constexpr unsigned firstServerError = 500;
 
-//! A connection within the deployment comes up within some milliseconds, or the upstream is gone.
-constexpr Millis connectLimit{ 400 };
-//! Unacknowledged bytes are given up after this: a partitioned upstream shows no other sign.
-constexpr Millis upstreamSilence{ 2000 };
-//! Usual time of an answer beside the work that was estimated: round trips and a first step.
+//! Connections within the deployment open within some milliseconds; after this timeout the upstream
+//! counts as unreachable.
+constexpr Millis connectTimeout{ 400 };
+//! An upstream connection is dropped when sent bytes stay unacknowledged for this long: nothing
+//! else shows that an upstream is partitioned from the gateway.
+constexpr Millis upstreamUnackedTimeout{ 2000 };
+//! Typical time of an answer in addition to the estimated work: round trips and a first engine
+//! step.
 constexpr double overheadMs = 75;
-//! A refusal weighs less than a failure: the upstream is full, not broken.
+//! Weight of a refusal in an upstream's health, where a failure weighs 1: the upstream is full, not
+//! broken.
 constexpr double refusalWeight = 0.5;
-//! Answers of plain services are passed on whole; larger ones than this are refused.
-constexpr std::uint64_t maxWholeAnswer = 16U << 20U;
+//! Limit on the body of an answer that is not a stream: it is held in memory until it is complete,
+//! and a larger one fails the send.
+constexpr std::uint64_t maxBufferedAnswerBytes = 16U << 20U;
 constexpr std::string_view chunkedFraming = "Transfer-Encoding: chunked\r\n";
 
 bool upstreamFailed( unsigned status ) {
@@ -40,15 +45,16 @@
 } // namespace
 
 int Exchange::urgency() const {
-    // Rank first, then the time there is: a request with a long goal can wait for a short one.
+    // The priority decides first, then the goal: a request with a long goal can wait for one with a
+    // short goal.
     constexpr std::int64_t longGoalMs = 2000;
-    constexpr int step = 2;
-    constexpr int last = 9;
-    // An organisation's rank takes the place of its routes' own.
-    const bool ranked = m_organisation != nullptr && m_organisation->priority;
-    const int priority = ranked ? *m_organisation->priority : m_route->priority;
-    const int base = 1 + step * priority;
-    return std::min( base + ( m_route->goal.count() > longGoalMs ? step : 0 ), last );
+    constexpr int urgencyStep = 2;
+    constexpr int maxUrgency = 9;
+    // An organisation's priority overrides the route's.
+    const bool hasOwnPriority = m_organisation != nullptr && m_organisation->priority;
+    const int priority = hasOwnPriority ? *m_organisation->priority : m_route->priority;
+    const int base = 1 + urgencyStep * priority;
+    return std::min( base + ( m_route->goal.count() > longGoalMs ? urgencyStep : 0 ), maxUrgency );
 }
 
 std::string Exchange::requestBytes( const Node& node ) const {
@@ -64,10 +70,10 @@
         head.urgency = urgency();
     }
     head.lastEventId = m_lastEvent;
-    const auto own = platform::takeSendHead( head, fields );
+    const auto systemFields = platform::takeSendHead( head, fields );
     std::string out = m_request.method + " " + m_request.target + " HTTP/1.1\r\n";
     appendForwarded( out, fields );
-    appendForwarded( out, own );
+    appendForwarded( out, systemFields );
     const bool hasBody =
         !m_request.body.empty() ||
         m_request.fields.find( http::field::content_length ) != m_request.fields.end() ||
@@ -82,22 +88,22 @@
 
 net::Task<ConnectionPtr> Exchange::connectionTo( Node& node ) {
     const auto now = MonoClock::now();
-    auto kept = node.pool.take( now );
-    if( kept ) {
-        co_return kept;
+    auto pooled = node.pool.take( now );
+    if( pooled ) {
+        co_return pooled;
     }
     auto out = std::make_shared<UpstreamConnection>( m_shared.context );
     m_client->upstream = out;
     net::ErrorCode ec;
     const auto to = net::endpointOf( node.upstream.ip, node.upstream.port, ec );
-    const auto limit = std::min( connectLimit, remaining( now, m_deadline ) );
+    const auto limit = std::min( connectTimeout, remaining( now, m_deadline ) );
     ec = co_await net::connect( out->socket, to, limit );
     if( ec ) {
         co_return nullptr;
     }
-    net::configureSocket( out->socket, upstreamSilence );
-    // A request that is given up must not run when its bytes lie with a frozen upstream: nine did,
-    // up to two seconds after their clients had left.
+    net::configureSocket( out->socket, upstreamUnackedTimeout );
+    // A request that was given up must not run later because its bytes are still queued at a frozen
+    // upstream: without the reset requests ran up to 2 s after their clients had disconnected.
     net::resetOnClose( out->socket );
     co_return out;
 }
@@ -126,32 +132,32 @@
     const bool generates = m_need.generation != nullptr && node->engine != nullptr;
     auto connection = co_await connectionTo( *node );
     auto now = MonoClock::now();
-    if( hasLeft( *m_client ) || !timeLeft( now ) ) {
+    if( checkDisconnected( *m_client ) || !hasTimeLeft( now ) ) {
         out.end = SendOutcome::stopped;
         co_return out;
     }
     if( !connection ) {
         noteUnreachable( node->health, now );
         out.end = SendOutcome::notRun;
-        out.why = "connect failed";
+        out.failure = "connect failed";
         log::info( "connect_failed",
                    { { "id", m_request.head.requestId }, { "upstream", node->upstream.id } } );
         co_return out;
     }
-    if( !node->takesRequestsNow( now ) ) {
-        // It said so while the connection was opened.
-        if( now < connection->goodUntil ) {
+    if( !node->isAvailable( now ) ) {
+        // The upstream stopped taking requests while the connection was opened.
+        if( now < connection->reusableUntil ) {
             node->pool.put( connection );
         }
         out.end = SendOutcome::notRun;
-        out.why = "upstream takes no requests";
+        out.failure = "upstream takes no requests";
         co_return out;
     }
-    if( m_leave ) {
-        m_leave->use();
+    if( m_promptPermit ) {
+        m_promptPermit->use();
     }
-    if( m_room ) {
-        m_room->use();
+    if( m_limitPermit ) {
+        m_limitPermit->use();
     }
     ++m_sends;
     m_expectedMs = choice.expectedMs;
@@ -170,7 +176,7 @@
         ++m_runs;
     }
     recordPoisonEvidence( node, out, now );
-    if( out.end == SendOutcome::stopped || m_client->left ) {
+    if( out.end == SendOutcome::stopped || m_client->disconnected ) {
         out.end = SendOutcome::stopped;
         m_mayHaveRun = true;
         co_return out;
@@ -181,7 +187,7 @@
                    { { "id", m_request.head.requestId },
                      { "fingerprint", decide::fingerprintText( m_fingerprint ) },
                      { "upstream", node->upstream.id },
-                     { "why", out.why },
+                     { "why", out.failure },
                      { "sent_ms", millisBetween( m_sentAt, now ) },
                      { "events_ms", m_firstEventAt ? millisBetween( *m_firstEventAt, now ) : -1 },
                      { "beside", node->inFlight },
@@ -192,7 +198,7 @@
         noteFailure( node->health, refusalWeight, now );
         log::info( "send_refused", { { "id", m_request.head.requestId },
                                      { "upstream", node->upstream.id },
-                                     { "why", out.why } } );
+                                     { "why", out.failure } } );
     }
     co_return out;
 }
@@ -209,99 +215,101 @@
     const auto [error, n] = co_await http::async_read_header(
         transfer.connection->socket, transfer.connection->buf, parser, net::tupled );
     if( error ) {
-        out.connectionBroke = !ended( transfer );
+        out.connectionBroke = !isAborted( transfer );
         out.end = out.connectionBroke ? SendOutcome::lost : SendOutcome::stopped;
-        out.why = error.message();
+        out.failure = error.message();
         transfer.close();
         co_return out;
     }
     node.lastReceivedAt = MonoClock::now();
     const auto status = parser.get().result_int();
     transfer.head = platform::readAnswerHead( status, parser.get() );
-    hearAnnouncement( transfer );
+    noteAnnouncement( transfer );
     const bool ran = transfer.head.answerClass == AnswerClass::complete;
     if( ran && transfer.head.requestId != m_request.head.requestId ) {
-        // An answer to an earlier request: what follows on this connection can't be trusted.
-        out.why = "answer to another request";
+        // The answer belongs to an earlier request: the connection can't be trusted any more.
+        out.failure = "answer to another request";
         transfer.close();
         co_return out;
     }
     const bool streams =
         ran && transfer.head.sealed && status == statusOk && m_route->kind == RequestKind::stream;
     if( streams ) {
-        co_return co_await passStream( transfer );
+        co_return co_await forwardStream( transfer );
     }
-    co_return co_await takeWhole( transfer );
+    co_return co_await receiveBuffered( transfer );
 }
 
-void Exchange::hearAnnouncement( const Transfer& transfer ) {
+void Exchange::noteAnnouncement( const Transfer& transfer ) {
     const auto& head = transfer.head;
     Node& node = transfer.node;
     if( !head.badField.empty() ) {
         log::warn( "announcement_unreadable",
                    { { "upstream", node.upstream.id }, { "field", head.badField } } );
     }
-    const bool byAnother = !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
-    if( byAnother ) {
+    const bool fromAnotherUpstream =
+        !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
+    if( fromAnotherUpstream ) {
         return;
     }
-    const auto& said = head.announcement;
-    if( said.backoff ) {
+    const auto& received = head.announcement;
+    if( received.backoff ) {
         m_shared.metrics.count( "upstream_backoffs" );
         log::info( "upstream_backoff", { { "id", m_request.head.requestId },
                                          { "upstream", node.upstream.id },
-                                         { "backoff_ms", said.backoff->count() } } );
+                                         { "backoff_ms", received.backoff->count() } } );
     }
-    if( said.leaving && !node.announced.leaving() ) {
+    if( received.leaving && !node.announced.leaving() ) {
         log::info( "upstream_says_it_leaves",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
     }
     const auto now = MonoClock::now();
-    node.hear( said, m_shared.fleet.gateways(), now );
-    hearLimit( transfer, now );
+    node.takeAnnouncement( received, m_shared.fleet.gateways(), now );
+    noteAnnouncedLimit( transfer, now );
 }
 
-void Exchange::hearLimit( const Transfer& transfer, MonoTime now ) {
-    const auto& said = transfer.head.announcement;
+void Exchange::noteAnnouncedLimit( const Transfer& transfer, MonoTime now ) {
+    const auto& received = transfer.head.announcement;
     Node& node = transfer.node;
-    if( said.limit == decide::LimitAnnouncement::named ) {
+    if( received.limit == decide::LimitAnnouncement::named ) {
         m_shared.metrics.count( "upstream_limits" );
-        if( node.limit.known.noteNamed( said.limitPerS, now ) ) {
-            log::info( "upstream_limit", { { "id", m_request.head.requestId },
-                                           { "upstream", node.upstream.id },
-                                           { "limit_per_s", log::decimal( said.limitPerS ) } } );
+        if( node.limit.known.noteNamed( received.limitPerS, now ) ) {
+            log::info( "upstream_limit",
+                       { { "id", m_request.head.requestId },
+                         { "upstream", node.upstream.id },
+                         { "limit_per_s", log::decimal( received.limitPerS ) } } );
         }
         return;
     }
-    // An answer that is left over from another request may be of any age.
-    const bool own = transfer.head.requestId == m_request.head.requestId;
-    const bool none = own && said.limit == decide::LimitAnnouncement::none;
-    if( none && node.limit.known.noteNone( transfer.sentAt, now ) ) {
+    // An answer to another request may be old, so it does not show that the limit has ended.
+    const bool answersThisRequest = transfer.head.requestId == m_request.head.requestId;
+    const bool noLimit = answersThisRequest && received.limit == decide::LimitAnnouncement::none;
+    if( noLimit && node.limit.known.noteNone( transfer.sentAt, now ) ) {
         log::info( "upstream_limit_ended",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
     }
 }
 
-bool Exchange::ended( const Transfer& transfer ) const {
-    return transfer.deadline.expired() || m_client->left;
+bool Exchange::isAborted( const Transfer& transfer ) const {
+    return transfer.deadline.expired() || m_client->disconnected;
 }
 
-net::Task<Exchange::SendResult> Exchange::passStream( Transfer& transfer ) {
+net::Task<Exchange::SendResult> Exchange::forwardStream( Transfer& transfer ) {
     SendResult out;
-    EventStreamSplitter cutter( m_lastEvent );
+    EventStreamSplitter splitter( m_lastEvent );
     if( !m_headSent ) {
         m_answer = transfer.answerHead();
     }
     for( ;; ) {
         const auto [bytes, ec] = co_await transfer.readBody();
         std::string events;
-        const bool sound = cutter.feed( bytes, events );
-        const bool finished = !ec && sound && transfer.parser.is_done() && cutter.atBoundary();
-        if( sound && !events.empty() ) {
+        const bool inOrder = splitter.feed( bytes, events );
+        const bool finished = !ec && inOrder && transfer.parser.is_done() && splitter.atBoundary();
+        if( inOrder && !events.empty() ) {
             noteEvents( transfer );
-            m_lastEvent = cutter.last();
+            m_lastEvent = splitter.last();
         }
-        if( sound && ( !events.empty() || finished ) ) {
+        if( inOrder && ( !events.empty() || finished ) ) {
             auto text = streamText( events, finished );
             const bool written = co_await writeClient( std::move( text ) );
             if( !written ) {
@@ -316,11 +324,13 @@
             transfer.release( true );
             co_return out;
         }
-        if( ec || !sound || transfer.parser.is_done() ) {
+        if( ec || !inOrder || transfer.parser.is_done() ) {
             const auto broken = m_headSent ? SendOutcome::streamCut : SendOutcome::lost;
-            out.end = ended( transfer ) ? SendOutcome::stopped : broken;
-            out.connectionBroke = ec && !ended( transfer );
-            out.why = !sound ? "events out of order" : ec ? ec.message() : "cut inside an event";
+            out.end = isAborted( transfer ) ? SendOutcome::stopped : broken;
+            out.connectionBroke = ec && !isAborted( transfer );
+            out.failure = !inOrder ? "events out of order"
+                          : ec     ? ec.message()
+                                   : "cut inside an event";
             if( !m_headSent ) {
                 m_answer.reset();
             }
@@ -348,20 +358,20 @@
     return out;
 }
 
-net::Task<Exchange::SendResult> Exchange::takeWhole( Transfer& transfer ) {
+net::Task<Exchange::SendResult> Exchange::receiveBuffered( Transfer& transfer ) {
     SendResult out;
     auto whole = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
         const auto [bytes, ec] = co_await transfer.readBody();
         whole.body.append( bytes );
-        if( ec || whole.body.size() > maxWholeAnswer ) {
-            out.why = ec ? ec.message() : "answer too large";
+        if( ec || whole.body.size() > maxBufferedAnswerBytes ) {
+            out.failure = ec ? ec.message() : "answer too large";
             break;
         }
         complete = transfer.parser.is_done();
     }
-    const bool late = ended( transfer );
+    const bool late = isAborted( transfer );
     transfer.release( complete );
     const auto& head = transfer.head;
     if( !head.actualUpstream.empty() && head.actualUpstream != transfer.node.upstream.id ) {
@@ -369,25 +379,25 @@
     }
     if( head.answerClass != AnswerClass::complete ) {
         out.end = SendOutcome::notRun;
-        out.why = "status " + std::to_string( whole.status );
+        out.failure = "status " + std::to_string( whole.status );
         co_return out;
     }
     if( !complete ) {
         out.end = late ? SendOutcome::stopped : SendOutcome::lost;
-        out.connectionBroke = !late && whole.body.size() <= maxWholeAnswer;
+        out.connectionBroke = !late && whole.body.size() <= maxBufferedAnswerBytes;
         co_return out;
     }
-    if( !head.sealed && whole.status < firstError ) {
-        out.why = "unsigned answer";
+    if( !head.sealed && whole.status < firstNonSuccessStatus ) {
+        out.failure = "unsigned answer";
         co_return out;
     }
-    out.end = judge( transfer, whole.status );
-    out.why = "status " + std::to_string( whole.status );
+    out.end = outcomeOfAnswer( transfer, whole.status );
+    out.failure = "status " + std::to_string( whole.status );
     m_answer = std::move( whole );
     co_return out;
 }
 
-Exchange::SendOutcome Exchange::judge( Transfer& transfer, unsigned status ) {
+Exchange::SendOutcome Exchange::outcomeOfAnswer( Transfer& transfer, unsigned status ) {
     if( upstreamFailed( status ) ) {
         const bool again = m_route->idempotent() && m_runs + 1 < m_route->attempts;
         return again ? SendOutcome::lost : SendOutcome::answered;
@@ -402,8 +412,8 @@
 void Exchange::noteEvents( Transfer& transfer ) {
     const auto now = MonoClock::now();
     transfer.node.lastReceivedAt = now;
-    if( !transfer.heardEvents ) {
-        transfer.heardEvents = true;
+    if( !transfer.receivedEvents ) {
+        transfer.receivedEvents = true;
         m_firstEventAt = now;
         transfer.inFlight.prefillDone();
         const auto measured = static_cast<double>( millisBetween( transfer.sentAt, now ) );
@@ -413,13 +423,13 @@
         transfer.node.slowStart.noteServed();
         noteSuccess( transfer.node.health, measured, transfer.choice.expectedMs + overheadMs, now );
     }
-    if( m_firstEvent ) {
+    if( m_timeToFirstEvent ) {
         const auto pause = std::chrono::duration_cast<Millis>( now - m_lastEventAt );
         m_longestPause = std::max( m_longestPause, pause );
     } else {
-        m_firstEvent = std::chrono::duration_cast<Millis>( now - m_request.arrived );
+        m_timeToFirstEvent = std::chrono::duration_cast<Millis>( now - m_request.arrived );
         m_shared.metrics.observe( metrics::Series::firstToken, m_route->name, m_service,
-                                  static_cast<double>( m_firstEvent->count() ) );
+                                  static_cast<double>( m_timeToFirstEvent->count() ) );
     }
     m_lastEventAt = now;
 }
