--- a/src/gateway/fleet_links.cpp
+++ b/src/gateway/fleet_links.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Which sidecars this gateway is connected to.
+// Chooses the sidecars to which this gateway is connected.
 #include "coursehead/kernel/log.hpp"
 #include "gateway/fleet.hpp"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-//! A connection that nobody has asked anything on for this long is not in use. Longer than a caller
-//! takes to come back after a refusal, and than a load from the weight store.
+//! A connection without a request for this long is not in use. The time is longer than the delay
+//! after which a refused caller retries, and than a load from the weight store.
 constexpr Millis linkRest{ 10000 };
 
 decide::Nearness nearnessOf( Distance distance ) {
@@ -52,7 +52,7 @@
     }
     for( const auto n : changes.close ) {
         nodes[n]->sidecar->close();
-        // Nobody would hear that the engine is back.
+        // Without the connection the gateway would not learn that the engine is reachable again.
         nodes[n]->engineReachable = true;
     }
     if( !changes.close.empty() ) {
--- a/src/gateway/fleet_members.cpp
+++ b/src/gateway/fleet_members.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// Upstreams that come, change and go.
+// Adds, updates and removes the fleet's upstreams.
 #include "coursehead/kernel/log.hpp"
 #include "gateway/fleet.hpp"
 #include "kernel/hash.hpp"
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr int hashBits = 64;
-//! Upstreams that come at once and are named in the log; of more, as at start, the number is.
+//! Largest number of changed upstreams that are logged one by one; for more, as at start, only the
+//! counts are logged.
 constexpr std::size_t mostNamed = 32;
 
 void logAdded( const Upstream& upstream ) {
--- a/src/gateway/follower.cpp
+++ b/src/gateway/follower.cpp
@@ -11,18 +11,19 @@
 using decide::StorePosition;
 using platform::StoreStatus;
 
-//! Pause after a failed call: short, since readiness after an outage hangs on it; jittered, since
-//! every process retries then.
+//! Delay after a failed call. It is short, because a process is not ready after an outage before a
+//! call succeeds, and jittered, because all processes retry at that time.
 constexpr Millis firstRetry{ 60 };
 constexpr Millis lastRetry{ 400 };
-//! After the store's return changes are taken one by one: upstreams come back then.
+//! For this long after the store answers again the pause between watch calls is shorter, because
+//! upstreams write their entries again then.
 constexpr Millis eagerTime{ 4000 };
 constexpr Millis eagerPause{ 150 };
-//! How often a follower looks at the latest whether its relay has fallen silent; it is told of a
-//! relay that is lost.
+//! Longest time between two checks whether the relay's delivery is still current. It can be long,
+//! because relayLost() ends the wait.
 constexpr Millis relayLook{ 60000 };
-//! An answer that took this much longer than asked for is no sign that the store is reachable now:
-//! the process may have been stopped meanwhile.
+//! An answer that took this much longer than the requested wait doesn't show that the store is
+//! reachable now, because the process may have been stopped in between.
 constexpr Millis lateAnswer{ 1000 };
 
 std::string_view nameOf( StoreStatus status ) {
@@ -106,7 +107,7 @@
     }
     const auto continuity = decide::continuityOf( m_position, result.position );
     const bool restored = m_known && continuity == Continuity::otherHistory;
-    // A relay was faster, or this answer is of a store that has come back from a copy since.
+    // A relay was faster, or the store has been restored from a copy since this answer.
     const bool overtaken = m_listed || result.position.era < m_position.era;
     if( restored || !overtaken ) {
         moveTo( result.position, restored );
@@ -117,10 +118,11 @@
 
 net::Task<StoreStatus> Follower::watch() {
     const auto asked = m_position;
-    // After trouble the first watch does not wait: its answer tells whether the history goes on.
+    // After an outage or a doubtful call the watch doesn't wait, to find out at once whether the
+    // store still has the same history.
     const Millis wait = m_reachable && !m_doubted ? m_settings.wait : Millis{ 0 };
     const auto result = co_await m_client.watch( m_settings.kind, asked.revision, wait );
-    // A relay that was faster has passed on the same changes, and later ones.
+    // A relay was faster, and has delivered these changes and later ones.
     const bool overtaken = m_position != asked;
     if( overtaken ) {
         co_return result.status;
@@ -136,7 +138,7 @@
         co_return StoreStatus::former;
     }
     if( result.position.era > asked.era ) {
-        // Its revisions are another history's: what lies between is not among the changes.
+        // The revisions belong to another history, so the events don't hold all changes in between.
         m_listed = false;
         co_return StoreStatus::expired;
     }
@@ -165,8 +167,9 @@
     co_return status;
 }
 
-//! A store that cuts its callers off once, as when it drops its history, is there again for the
-//! next call. One that does not answer in time may have been away for long.
+//! A store that cuts off its callers once, for example because it drops its history, answers the
+//! next call, so one failure before the time limit doesn't count as an outage. A store that doesn't
+//! answer in time may have been away for long.
 void Follower::judge( StoreStatus status, bool early ) {
     const bool up = status == StoreStatus::ok || status == StoreStatus::expired;
     if( !up && early && m_reachable && !m_doubted ) {
--- a/src/gateway/follower.hpp
+++ b/src/gateway/follower.hpp
@@ -11,63 +11,65 @@
 
 namespace coursehead::gateway {
 
-//! What a follower hands on. All handlers run on the event loop.
+//! Handlers for what a follower receives. All of them run on the event loop.
 struct FollowHandlers {
-    //! Everything that exists, at a revision of the store.
+    //! All objects of the kind, at one revision of the store.
     std::function<void( const std::vector<platform::StoreObject>& objects )> listing;
     std::function<void( const platform::StoreEvent& event )> event;
-    //! The store answers again, or ceased to.
+    //! The store started or stopped answering.
     std::function<void( bool reachable )> reachable;
-    //! All up to `position` was handed on; called after each answer of the store. May be empty.
+    //! Everything up to `position` has been delivered; called after each answer of the store. May
+    //! be empty.
     std::function<void( decide::StorePosition position )> synced;
-    //! The store has come back from a copy: what it lacks may not have been written again yet.
-    //! Called before the copy's first listing. May be empty.
+    //! The store was restored from a copy: objects that the copy lacks may not have been written
+    //! again yet. Called before the first listing of the copy. May be empty.
     std::function<void()> restored;
 };
 
 struct FollowSettings {
     std::string kind;
     Millis wait{ 2000 };                 //!< length of one watch call
-    Millis pause{ 0 };                   //!< between watch calls, so that changes come in batches
-    Millis callLimit{ 1000 };            //!< for a list
-    metrics::Metrics* metrics = nullptr; //!< counts the calls; null: nobody does
+    Millis pause{ 0 };                   //!< between watch calls, so that changes arrive in batches
+    Millis callLimit{ 1000 };            //!< for a list call
+    metrics::Metrics* metrics = nullptr; //!< counts the calls; null: they are not counted
 };
 
 /**
- * Keeps up with a kind of object in the store: lists, then watches, and lists again when the
- * watch's history is gone. While somebody else passes the store's changes on, it makes no calls.
+ * Follows one kind of object in the store: lists the objects, then watches for changes, and lists
+ * again when the store no longer has the history that the watch needs. While a relay delivers the
+ * store's changes, the follower makes no calls.
  */
 class Follower {
 public:
     Follower( net::asio::io_context& context, const platform::Endpoint& store,
               FollowSettings settings, RandomSource& random, FollowHandlers handlers );
 
-    //! Ends after stop().
+    //! Runs until stop().
     net::Task<> run();
     void stop() { m_stopped = true; }
 
     /**
-     * A relay has passed on everything up to a position, the `whole` of it or what has changed;
-     * until `until` no call is needed. Returns false when what it passed on is to be dropped: this
-     * follower is ahead of it, or knows another history than the changes belong to.
+     * Takes note that a relay has delivered everything up to a position, as a `whole` snapshot or
+     * as changes; the follower makes no calls until `until`. Returns false when the delivery has to
+     * be dropped, because the follower is ahead of it or the changes belong to another history.
      */
     bool relayed( decide::StorePosition position, bool whole, MonoTime until );
-    //! The relay is lost, or has lost the store: the store is called from `from` on, unless another
-    //! relay has spoken by then.
+    //! The relay is lost, or has lost the store: the follower calls the store from `from` on,
+    //! unless another relay has delivered something by then.
     void relayLost( MonoTime from );
 
     decide::StorePosition position() const noexcept { return m_position; }
-    //! The store, or a relay, told of changes when it was last asked.
+    //! True while the store, or a relay, delivers changes.
     bool reachable() const noexcept { return m_reachable; }
 
 private:
     net::Task<platform::StoreStatus> callStore();
-    //! Takes note of how a call ended, before its time or not.
+    //! Records the result of a call; `early` when it ended before its time limit.
     void judge( platform::StoreStatus status, bool early );
     net::Task<platform::StoreStatus> list();
     net::Task<platform::StoreStatus> watch();
     void setReachable( bool reachable, std::string_view status );
-    //! Goes on at a position; of another history than what is known when `restored`.
+    //! Continues at a position; `restored` when it belongs to another history than the known one.
     void moveTo( decide::StorePosition position, bool restored );
     Millis retryDelay();
 
@@ -79,13 +81,14 @@
     bool m_stopped = false;
     bool m_listed = false;
     bool m_reachable = false;
-    bool m_doubted = false; //!< the last call was cut short: the next one tells
-    bool m_known = false;   //!< something was handed on
+    bool m_doubted =
+        false; //!< the last call was cut short; the next one decides whether the store is lost
+    bool m_known = false; //!< something has been delivered
     decide::StorePosition m_position;
     Millis m_retry;
     MonoTime m_eagerUntil;
     MonoTime m_relayedUntil;
-    net::Timer m_relayOver; //!< ends the wait for that
+    net::Timer m_relayOver; //!< wait for m_relayedUntil
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/link_traffic.hpp
+++ b/src/gateway/link_traffic.hpp
@@ -13,11 +13,11 @@
 enum class Direction { in, out };
 
 /**
- * Counts what passes between a gateway and sidecars, by kind of message and by where the sidecar
- * is. Sums over all connections only.
+ * Counts messages and bytes between a gateway and sidecars, by message type and by the sidecar's
+ * location. There are only sums over all connections, none for each connection.
  */
 struct LinkTraffic {
-    metrics::Metrics* metrics = nullptr; //!< null: nothing is counted
+    metrics::Metrics* metrics = nullptr; //!< null: messages are not counted
     std::string_view where = "unknown";
 
     void note( Direction direction, std::string_view kind, std::size_t bytes ) const {
--- a/src/gateway/messages.cpp
+++ b/src/gateway/messages.cpp
@@ -181,7 +181,7 @@
     out.model = in.at( 2 ).get<std::string>();
 }
 
-// What goes often goes as arrays, without the names of fields.
+// Frequent messages are encoded as arrays, without field names, to keep them small.
 
 void to_json( Json& out, const Resident& in ) {
     out = Json::array( { in.model, in.adapters } );
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -13,152 +13,161 @@
 #include <variant>
 #include <vector>
 
-//! The messages between gateways and the sidecars beside engines, as CBOR.
+//! Messages between gateways and the sidecars beside engines, encoded as CBOR.
 namespace coursehead::gateway {
 
-//! Tells descriptions of engines apart: a hash of what they say.
+//! Identifies an engine description: a hash of its content.
 using EngineSpecKey = std::uint64_t;
 
-//! A gateway introduces itself, and says which engine the sidecar stands beside. Sent first, and
-//! again when any of it changes.
+//! Introduces the gateway to a sidecar and names the engine beside that sidecar. It is the first
+//! message on a connection, and is sent again when any field changes.
 struct EngineNews {
     std::string gateway;
     std::uint64_t configVersion = 0;
-    std::string upstreamId;       //!< the engine's present start
-    Born born = 0;                //!< the same
-    std::int64_t gapTargetMs = 0; //!< longest pause that keeps a stream in time; 0: none is set
-    EngineSpecKey spec = 0;       //!< what it is built like
+    std::string upstreamId;       //!< current start of the engine
+    Born born = 0;                //!< likewise
+    std::int64_t gapTargetMs = 0; //!< longest pause in a stream that is not late; 0: none is set
+    EngineSpecKey spec = 0;       //!< key of the engine's description
 };
 
-//! A sidecar asks a gateway for the description that it named.
+//! A sidecar's request for the engine description that a gateway has named by its key.
 struct SpecAsk {
     EngineSpecKey key = 0;
 };
 
-//! What an engine is built like, with every model of its service: the same for all engines of a
-//! service, and as large as the service has models.
+//! The description of an engine, with every model of its service. It is the same for all engines of
+//! a service, and its size grows with the number of models.
 struct SpecNews {
     EngineSpecKey key = 0;
     EngineSpec engine;
 };
 
-//! Part of a prompt that is to be sent, in the order of the prompt.
+//! Part of a prompt for which a gateway requests admission; parts are in the order of the prompt.
 struct AskedPart {
-    std::uint64_t key = 0; //!< stands for model, adapter and all parts up to it
+    std::uint64_t key = 0; //!< identifies model, adapter and all parts up to and including this one
     std::int64_t tokens = 0;
 };
 
-//! A prompt that is to be sent to an engine.
+//! A prompt that a gateway wants to send to an engine.
 struct AskedPrompt {
-    std::int64_t tokens = 0; //!< in all
-    double msPerToken = 0;   //!< pace at which the gateway saw the model read
-    std::int64_t goalMs = 0; //!< reading has to begin within it for the answer to be in time
-    bool late = false;       //!< it may begin after that too, within the question's limit
+    std::int64_t tokens = 0; //!< of the whole prompt
+    double msPerToken = 0;   //!< prompt reading time of the model, as the gateway measured it
+    std::int64_t goalMs =
+        0; //!< prompt reading has to start within this time for the answer to be on time
+    bool late = false; //!< reading may also start after the goal, within the request's limit
     std::vector<AskedPart> parts;
 };
 
-//! Asks for a model or adapter to be made ready, and for leave to send a prompt then.
+//! Requests that a model or adapter is made ready, and an admission permit for a prompt after that.
 struct EnsureRequest {
-    std::uint64_t number = 0; //!< of this gateway; the answer repeats it
+    std::uint64_t number = 0; //!< chosen by the gateway; the answer repeats it
     std::string upstreamId;
     std::string model;
     std::string adapter;      //!< empty: the model alone
     bool fromStore = false;   //!< the weight store may be used
-    std::int64_t limitMs = 0; //!< the gateway waits no longer for the answer
-    AskedPrompt prompt;       //!< without tokens: none is to be sent
-    std::int64_t coldMs = 0;  //!< the engine stays cold for this much longer, as the gateway knows
-    double coldPerS = 0;      //!< prompts a second that it is sent while cold; 0: no rule
+    std::int64_t limitMs = 0; //!< time after which the gateway stops waiting for the answer
+    AskedPrompt prompt;       //!< without tokens: there is no prompt to send
+    std::int64_t coldMs =
+        0;               //!< remaining time for which the engine is cold, as the gateway knows it
+    double coldPerS = 0; //!< prompts per second for the engine while it is cold; 0: no limit
 };
 
-//! The gateway has no use for an answer to this question, or for the leave that it was given.
+//! Withdraws an EnsureRequest, or gives back the admission permit that its answer granted.
 struct EnsureCancel {
     std::uint64_t number = 0;
 };
 
 enum class EnsureOutcome {
     ready,
-    noRoom,    //!< everything that could make way is needed more
-    needStore, //!< only the weight store has it, and it may not be used now
-    failed,    //!< the engine did not take the order or cannot be reached
-    later,     //!< all is there, but the prompt can't be read in time
+    noRoom,    //!< every model that could be unloaded for it is in higher demand
+    needStore, //!< only the weight store holds it, and the request may not use the store
+    failed,    //!< the engine did not accept the order, or is unreachable
+    later,     //!< the model is ready, but the engine can't read the prompt in time
 };
 
-//! The outcome's name in logs.
+//! Name of the outcome in logs.
 std::string_view nameOf( EnsureOutcome outcome );
 
 struct EnsureAnswer {
     std::uint64_t number = 0;
     EnsureOutcome outcome = EnsureOutcome::failed;
-    std::int64_t waitMs = 0; //!< until the engine could begin with a further prompt like this one
-    double workMs = 0;       //!< reading of the prompt, less what the engine keeps of it
-    //! Milliseconds of prompt reading a second that all gateways ask of the model; negative: not
-    //! known.
+    std::int64_t waitMs = 0; //!< time until the engine could start on another prompt like this one
+    double workMs = 0; //!< reading time of the prompt, without the parts that the engine has cached
+    //! Prompt reading, in milliseconds per second, that all gateways request of the model;
+    //! negative: unknown.
     double modelWorkPerS = -1;
 };
 
-//! How much a model is asked for, as one gateway sees it.
+//! Demand for a model, as one gateway measures it.
 struct ModelDemand {
     std::string model;
-    double perS = 0;                       //!< requests a second, smoothed
-    double workPerS = 0;                   //!< milliseconds of prompt reading a second, smoothed
-    int copies = 0;                        //!< upstreams that hold it
-    int running = 0;                       //!< this gateway's requests for it in flight there
-    std::vector<std::string> adaptersUsed; //!< sent there since the last message, or in flight
+    double perS = 0;     //!< requests per second, smoothed
+    double workPerS = 0; //!< milliseconds of prompt reading per second, smoothed
+    int copies = 0;      //!< number of upstreams that hold the model
+    int running = 0;     //!< this gateway's requests in flight for the model at this engine
+    std::vector<std::string>
+        adaptersUsed; //!< by requests sent since the last message, or in flight
 };
 
-//! Part of a prompt that others share, as it was sent to an engine.
+//! Prompt part that several prompts share, as it was sent to an engine.
 struct SentPart {
-    std::uint64_t key = 0; //!< stands for model, adapter and all parts up to it
+    std::uint64_t key = 0; //!< identifies model, adapter and all parts up to and including this one
     std::int64_t tokens = 0;
     std::string model;
 };
 
-//! Sent regularly; also tells the sidecar that the gateway lives.
+//! A gateway's demand for the models of an engine. Sent at a fixed interval, so that it also shows
+//! the sidecar that the gateway is alive.
 struct DemandNews {
     std::vector<ModelDemand> models;
-    std::vector<SentPart> sentParts; //!< since the last message, in order
-    double reading = 0;              //!< part of the engine's time that this gateway's prompts take
-    int gateways = 1;                //!< as many as this one knows to be about
+    std::vector<SentPart> sentParts; //!< parts sent since the last message, in order
+    double reading = 0; //!< share of the engine's time spent on reading this gateway's prompts
+    int gateways = 1;   //!< number of gateways that this one knows of, itself included
 };
 
-//! What moves all the time at an engine.
+//! Load figures of an engine, which change all the time.
 struct EngineLoad {
-    bool ordering = false; //!< an order is under way
+    bool ordering = false; //!< an order is in progress
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling = 0;
     bool adapterRoom =
-        true; //!< another adapter could be loaded without waiting for requests to end
-    int latePausesPercent = 0;       //!< part of its recent streams that paused too long
-    int readingPercent = 0;          //!< part of its time that prompts of all gateways take
-    std::int64_t readingWaitMs = 0;  //!< until it could begin with a prompt of the usual size
-    int gateways = 0;                //!< connected to this sidecar
-    std::vector<SentPart> sentParts; //!< that gateways sent there since the last message
-};
-
-//! All that a sidecar tells of its engine: to a new gateway, and when more than the load changes.
+        true; //!< another adapter could be loaded without waiting for running requests
+    int latePausesPercent =
+        0; //!< share of the engine's recent streams with a pause above the gap target
+    int readingPercent = 0; //!< share of the engine's time spent on reading prompts of all gateways
+    std::int64_t readingWaitMs =
+        0;            //!< time until the engine could start on a prompt of the usual size
+    int gateways = 0; //!< number connected to this sidecar
+    std::vector<SentPart>
+        sentParts; //!< parts that gateways sent to the engine since the last message
+};
+
+//! A sidecar's complete report on its engine. Sent to a gateway that connects, and when anything
+//! but the load changes.
 struct SidecarReport {
-    bool reachable = false;                   //!< the engine answered the sidecar
-    std::vector<std::string> formerUpstreams; //!< earlier starts of the engine, as refusals showed
+    bool reachable = false; //!< the engine answers the sidecar
+    std::vector<std::string>
+        formerUpstreams; //!< earlier starts of the engine, known from its refusals
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters on their way: MODEL/NAME
+    std::vector<std::string> coming; //!< adapters being loaded, as MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
     EngineLoad load;
-    Born born = 0; //!< the engine's present start
+    Born born = 0; //!< current start of the engine
 };
 
-//! The load alone, regularly: most reports differ in nothing else.
+//! The load alone, sent at a fixed interval, since most reports differ in nothing else.
 struct LoadReport {
     EngineLoad load;
 };
 
-//! Asks a sidecar to pass on what changes in the store, or to cease to.
+//! Asks a sidecar to start or to stop relaying the store's changes.
 struct RelayAsk {
     bool wanted = false;
 };
 
-//! Which part of the store a message is about.
+//! The part of the store that a message is about.
 enum class StorePart {
     upstreams,
     configuration,
@@ -166,17 +175,19 @@
     evacuations,
 };
 
-//! What has changed in the store up to a position; sent after every answer of the store.
+//! Changes in the store up to a position; a relay sends it after every answer of the store.
 struct StoreNews {
     StorePart part = StorePart::upstreams;
     decide::StorePosition position;
-    bool reachable = true;           //!< the store answered; otherwise nothing else is set
-    bool whole = false;              //!< all that exists, not only the changes
-    std::vector<Upstream> upstreams; //!< added or changed in more than what they hold
-    std::vector<std::string> gone;   //!< ids of upstreams, or halls no longer emptied
-    std::string configuration;       //!< as the operator wrote it; empty: unchanged
+    bool reachable = true; //!< the store answered; if not, only part and position are set
+    bool whole = false;    //!< a snapshot of the part, not only its changes
+    std::vector<Upstream>
+        upstreams; //!< added, or changed in more than their adapters or remaining cold time
+    std::vector<std::string>
+        gone;                  //!< ids of removed upstreams, or halls that are no longer evacuated
+    std::string configuration; //!< the operator's text; empty: unchanged
     std::vector<decide::Quarantine> quarantines; //!< added
-    std::vector<std::string> emptied;            //!< halls
+    std::vector<std::string> emptied;            //!< halls under evacuation
 };
 
 using Message =
@@ -186,11 +197,11 @@
                  decide::PoisonCleared, decide::QuarantineNews, decide::LimitNews, decide::LimitAsk,
                  decide::LimitAnswer, decide::LimitReturn, SpecAsk, SpecNews>;
 
-//! What a message is about, in logs and counters.
+//! Name of the message's type in logs and counters.
 std::string_view kindOf( const Message& message );
 
 std::string encode( const Message& message );
-//! Reads a message; nullopt when it is malformed.
+//! Decodes a message; nullopt when it is malformed.
 std::optional<Message> decode( std::string_view bytes );
 
 } // namespace coursehead::gateway
--- a/src/gateway/registry.cpp
+++ b/src/gateway/registry.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-//! Starts that have left are remembered for longer than any copy of the store is old.
+//! Departed starts are remembered for longer than the age of any copy of the store, so that a copy
+//! can't bring them back.
 constexpr auto leftKept = std::chrono::minutes( 10 );
 
-//! The store's copy may be older than what a start has said: none that leaves stays after all.
+//! True when a draining member has to stay so: a draining start never becomes ready again, but the
+//! store may have been restored from a copy that is older than its drain.
 bool leavesForGood( const Upstream& known, const Upstream& told ) {
     return known.state == UpstreamState::draining && told.born <= known.born;
 }
@@ -61,8 +63,8 @@
         upstream.state = UpstreamState::draining;
         upstream.remaining = known->second.upstream.remaining;
     }
-    // Entries of former starts live on for some heartbeats: of two at one address the one that was
-    // made later holds.
+    // Entries of former starts live on for some heartbeats. Of two entries with one address the one
+    // that was created later is valid.
     const auto address = addressOf( upstream );
     const auto there = m_byAddress.find( address );
     if( there != m_byAddress.end() && there->second != upstream.id ) {
--- a/src/gateway/registry.hpp
+++ b/src/gateway/registry.hpp
@@ -13,37 +13,38 @@
 
 namespace coursehead::gateway {
 
-//! An upstream that is or was listed.
+//! An upstream in the registry.
 struct Member {
     Upstream upstream;
-    bool missing = false; //!< no longer listed, and not yet taken for gone
+    bool missing = false; //!< no longer in the store, but not removed from the registry yet
 };
 
 /**
- * Which upstreams exist. An entry that disappears is gone at once, unless the store had trouble
- * shortly before: entries lapse while the store is away, so a missing one then stays in use for
- * a while after the store's return.
+ * The upstreams that exist. An entry that disappears from the store is removed at once, unless the
+ * store had an outage shortly before. Entries lapse during an outage, so a missing one then stays
+ * in use for a while after the store answers again.
  */
 class Registry {
 public:
     struct Settings {
-        Millis lapseHold{ 2000 }; //!< from the store's return: time for lapsed entries to come back
+        Millis lapseHold{ 2000 }; //!< after an outage, time for lapsed entries to be written again
     };
     explicit Registry( Settings settings ) : m_settings( settings ) {}
 
-    //! All entries at this moment.
+    //! Replaces all entries by the given listing.
     void list( std::vector<Upstream> upstreams, MonoTime now );
     void put( Upstream upstream, MonoTime now );
     void remove( const std::string& id, MonoTime now );
-    //! The store ceased to answer, or answers again.
+    //! Records that the store answers or doesn't.
     void storeReachable( bool reachable, MonoTime now );
-    //! The store has come back from a copy: entries that it lacks have time to be written again.
+    //! Records that the store was restored from a copy: entries that the copy lacks are kept for a
+    //! while, until they are written again.
     void storeRestored( MonoTime now ) { m_troubleEnd = now; }
-    //! Drops missing entries whose time is over.
+    //! Removes missing entries when the hold after an outage is over.
     void expire( MonoTime now );
 
     const std::map<std::string, Member>& members() const noexcept { return m_members; }
-    //! Ids of the members that have come, changed or gone since the last call.
+    //! Ids of the members that were added, changed or removed since the last call.
     std::set<std::string> takeChanged() { return std::exchange( m_changed, {} ); }
 
 private:
@@ -56,7 +57,7 @@
     void noteLeft( const Upstream& upstream, MonoTime now );
 
     Settings m_settings;
-    //! A start that was leaving when its entry went.
+    //! A start of an upstream that was draining when its entry disappeared.
     struct Left {
         Born born = 0;
         MonoTime at;
@@ -66,7 +67,7 @@
     std::set<std::string> m_changed;
     std::map<std::string, Left> m_left; //!< by id
     bool m_reachable = false;
-    std::optional<MonoTime> m_troubleEnd; //!< when the store last came back
+    std::optional<MonoTime> m_troubleEnd; //!< when the store last answered again or was restored
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/relay_choice.cpp
+++ b/src/gateway/relay_choice.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-//! A relay sends each change once to each gateway: thirty-two cost it well below a hundredth of a
-//! core, and at 400 gateways 13 relays call the store.
+//! A relay sends each change once to each of its gateways. Thirty-two gateways cost it well below
+//! 1 % of a core, and with 400 gateways only 13 relays call the store.
 constexpr int gatewaysPerRelay = 32;
 
 } // namespace
--- a/src/gateway/relay_choice.hpp
+++ b/src/gateway/relay_choice.hpp
@@ -10,17 +10,17 @@
 
 namespace coursehead::gateway {
 
-//! A sidecar that could pass the store's changes on.
+//! A sidecar that could relay the store's changes.
 struct RelayCandidate {
     std::string_view upstreamId;
     bool connected = false;
-    bool avoided = false; //!< it was silent or without the store lately
+    bool avoided = false; //!< it recently fell silent or lost the store
 };
 
 /**
- * The sidecar that a gateway takes the store's changes from. Gateways choose alike, so that few
- * sidecars call the store; one relay serves at most `gatewaysPerRelay` of them on average. Nullopt
- * when none is connected.
+ * Chooses the sidecar from which a gateway receives the store's changes. All gateways use the same
+ * ranking, so that few sidecars call the store; a relay serves at most `gatewaysPerRelay` gateways
+ * on average. Nullopt when no candidate is both connected and not avoided.
  */
 std::optional<std::size_t> chooseRelay( std::span<const RelayCandidate> candidates,
                                         std::string_view gateway, int gateways );
--- a/src/gateway/relay_times.hpp
+++ b/src/gateway/relay_times.hpp
@@ -7,38 +7,40 @@
 
 #include <algorithm>
 
-//! Times that a relay and the gateways it serves agree on. All are parts of the time in which
-//! nobody may send to a leaving upstream any more: a gateway whose relay fell silent must have
-//! asked the store itself well before.
+//! Times that a relay and the gateways it serves have in common. Those of the relay are fractions
+//! of the drain bound, the time within which every gateway must stop sending to a leaving upstream:
+//! a gateway whose relay falls silent has to have called the store itself well before that.
 namespace coursehead::gateway {
 
 inline Millis partOf( Millis whole, double part ) {
     return Millis( static_cast<std::int64_t>( static_cast<double>( whole.count() ) * part ) );
 }
 
-//! How long a watch on the configuration, or a gateway's own on upstreams, waits. A call that has
-//! hung since an outage must have ended, its slack included, and another begun, before the process
-//! counts as in touch again: from then on it is judged by what it would have heard.
+//! Length of a watch call on the configuration, or of a gateway's own watch call on upstreams. A
+//! call that has hung since an outage has to end, its slack included, and a new one has to start
+//! before the process counts as in contact with the store again: from then on it is expected to
+//! know every change.
 inline Millis watchWait( const platform::Bounds& bounds ) {
     constexpr double inTime = 0.9;
-    constexpr double least = 0.3; // where the time is hardly longer than the slack
+    constexpr double least = 0.3; // used where the contact bound is hardly longer than the slack
     return std::max( partOf( bounds.contact, inTime ) - platform::watchSlack,
                      partOf( bounds.contact, least ) );
 }
 
-//! How long a relay's watch on upstreams waits: it speaks at least that often.
+//! Length of a relay's watch call on upstreams; the relay sends a message after each call.
 inline Millis relayWait( const platform::Bounds& bounds ) {
     constexpr double part = 0.33;
     return partOf( bounds.drain, part );
 }
 
-//! Between a relay's calls, so that changes come in batches.
+//! Pause between a relay's calls, so that changes arrive in batches.
 inline Millis relayPause( const platform::Bounds& bounds ) {
     constexpr double part = 0.15;
     return partOf( bounds.drain, part );
 }
 
-//! Silence after which a relay is left: a wait, a pause, and a sixth for the way.
+//! Silence after which a gateway drops its relay: one watch call, one pause, and about a sixth of
+//! the drain bound for the network.
 inline Millis relaySilence( const platform::Bounds& bounds ) {
     constexpr double part = 0.65;
     return partOf( bounds.drain, part );
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -10,19 +10,22 @@
 constexpr Millis connectLimit{ 500 };
 constexpr Millis retryPause{ 250 };
 constexpr Millis lastRetryPause{ 1000 };
-//! Sidecars speak every 500 ms; after three missed messages the connection is taken for dead.
+//! A sidecar sends something every 500 ms at the latest; after three missed messages the connection
+//! counts as dead.
 constexpr Millis silence{ 1500 };
-//! A sidecar that was not heard for this long is not asked: it speaks every 450 ms at the latest,
-//! and a question to one that stands still would cost a request half of its time.
+//! Requests are not sent to a sidecar that has been silent for this long. A running sidecar sends a
+//! report every 450 ms at the latest, and waiting for one that hangs would cost a client's request
+//! half of its time.
 constexpr Millis askSilence{ 700 };
-//! How often a wait looks whether the sidecar still speaks.
+//! Interval at which a pending request checks whether the sidecar has fallen silent.
 constexpr Millis silenceLook{ 200 };
-//! The sidecar answers when a question's limit is over: the way there and back, and two late loops.
+//! The sidecar answers when a request's limit is over. Added to the limit, this covers the network
+//! round trip and a late event loop at both ends.
 constexpr Millis answerDelay{ 60 };
-//! A sidecar that is reached speaks within some milliseconds; one that says nothing for so long
-//! can't be asked.
+//! A working sidecar sends its first message within some milliseconds of the connect; one that has
+//! sent nothing after this time counts as unreachable.
 constexpr Millis firstWord{ 250 };
-//! Messages kept until the connection is up.
+//! Largest number of messages queued while the link is connecting.
 constexpr std::size_t mostQueued = 64;
 
 } // namespace
@@ -216,7 +219,7 @@
 }
 
 void SidecarLink::cancel( std::uint64_t number ) {
-    // What it would end has ended with the connection.
+    // A lost connection has ended the request and its permit at the sidecar already.
     if( up() ) {
         transmit( Message( EnsureCancel{ number } ) );
     }
@@ -259,7 +262,7 @@
     }
     const auto* news = std::get_if<StoreNews>( &*message );
     if( news != nullptr && m_handlers.news ) {
-        // What it tells may give this link other handlers while this one runs.
+        // The handler may replace this link's handlers while it runs, so a copy is called.
         const auto handler = m_handlers.news;
         handler( *news );
     }
@@ -328,7 +331,7 @@
             log::info( m_state == LinkState::up ? "sidecar_lost" : "sidecar_left",
                        { { "ip", m_ip } } );
         }
-        // Closed meanwhile, and opened again: that is another start.
+        // The link was closed and opened again meanwhile: reconnect at once, without a delay.
         const bool anew = !ec && m_state == LinkState::connecting;
         if( m_state != LinkState::closed && !anew ) {
             setState( LinkState::failing );
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -18,18 +18,19 @@
 namespace coursehead::gateway {
 
 enum class LinkState {
-    closed,     //!< not wanted: the next question opens it
-    connecting, //!< for the first time since it was opened
+    closed,     //!< not needed now; the next request opens it
+    connecting, //!< first attempt since the link was opened
     up,
-    failing, //!< lost, or not to be had; tried again from time to time
+    failing, //!< connection lost, or the attempt failed; retried with a delay
 };
 
-//! A gateway's connection to the sidecar beside an engine; kept up from open() until close().
+//! A gateway's connection to the sidecar beside an engine. From open() until close() a lost
+//! connection is established again.
 class SidecarLink : public std::enable_shared_from_this<SidecarLink> {
 public:
-    //! What comes from a sidecar; called until stop().
+    //! Handlers for events of the connection; called until stop().
     struct Handlers {
-        //! The connection is up, and the sidecar was told of its engine.
+        //! The connection is up, and the message that names the engine has been sent.
         std::function<void()> connected;
         std::function<void( const SidecarReport& report )> report;
         std::function<void( const EngineLoad& load )> load;
@@ -42,47 +43,51 @@
 
     void setHandlers( Handlers handlers ) { m_handlers = std::move( handlers ); }
     void setTraffic( LinkTraffic traffic ) { m_traffic = traffic; }
-    //! Begins to connect, unless it is open.
+    //! Starts to connect, unless the link is open.
     void open();
-    //! Ends the connection until the next question.
+    //! Closes the connection; the next request opens it again.
     void close();
     void stop();
     const std::string& ip() const noexcept { return m_ip; }
     LinkState state() const noexcept { return m_state; }
     bool up() const noexcept { return m_state == LinkState::up; }
-    //! True when the sidecar spoke lately: it can be asked.
+    //! True when the sidecar has sent something recently, so that a request to it is worthwhile.
     bool answers( MonoTime now ) const;
-    //! The same, or nothing is known of it: a question opens the connection.
+    //! True when the sidecar is responsive, or its state is unknown because the link is closed or
+    //! still connecting: a request then opens the connection.
     bool mayAnswer( MonoTime now ) const;
-    //! True when nobody waits for an answer and none was asked for since `since`.
+    //! True when no request is pending, no relay is requested, and the link has not been used since
+    //! `since`.
     bool unusedSince( MonoTime since ) const {
         return m_waiters.empty() && m_opening.empty() && !m_relayWanted && m_usedAt < since;
     }
-    //! True when it is not known yet whether the sidecar can be reached.
+    //! True while it is not yet known whether the sidecar can be reached.
     bool untried( MonoTime now ) const;
-    //! Opens the connection and waits for the sidecar's first word; false after `limit`, or when it
-    //! can't be reached.
+    //! Opens the connection and waits for the sidecar's first message; false after `limit`, or when
+    //! the sidecar can't be reached.
     net::Task<bool> opened( Millis limit );
 
-    //! Tells the sidecar of its engine, now and after each reconnect; what that is built like only
-    //! when it asks.
+    //! Sends the message that names the engine, now and after each reconnect. The engine's
+    //! description is sent only when the sidecar requests it.
     void setNews( EngineNews news, SpecTextPtr spec );
     void send( const DemandNews& demand );
-    //! Asks the sidecar to pass the store's changes on, or to cease to; asked again after each
-    //! reconnect.
+    //! Asks the sidecar to start or to stop relaying the store's changes; a wanted relay is
+    //! requested again after each reconnect.
     void askRelay( bool wanted );
-    //! Asks, and waits for the answer; `failed` after the request's limit, or when the sidecar
-    //! falls silent. The number of the question is kept in `number` for cancel().
+    //! Sends the request and waits for the answer. Returns `failed` after the request's limit, or
+    //! when the sidecar falls silent. The result's `number` is that of the request, for cancel().
     net::Task<EnsureAnswer> ensure( EnsureRequest request );
-    //! Asks for units of an organisation's quota; nullopt when no answer came within `limit`.
+    //! Requests units of an organisation's quota; nullopt when no answer came within `limit`.
     net::Task<std::optional<decide::QuotaAnswer>> askQuota( decide::QuotaAsk ask, Millis limit );
-    //! Asks for leave to send to an upstream with a limit; likewise.
+    //! Requests an admission permit for an upstream with a rate limit; nullopt when no answer came
+    //! within `limit`.
     net::Task<std::optional<decide::LimitAnswer>> askLimit( decide::LimitAsk ask, Millis limit );
-    //! Opens the connection if need be; dropped when the sidecar can't be reached.
+    //! Sends a message, and opens the connection if needed. The message is dropped when the sidecar
+    //! can't be reached.
     void send( const Message& message );
-    //! Tells the sidecar that a question, or the leave given in answer to it, has no use any more.
+    //! Withdraws an ensure() request, or gives back the admission permit that its answer granted.
     void cancel( std::uint64_t number );
-    //! Ends every wait as failed.
+    //! Ends the wait of every pending request, without an answer.
     void failWaiters();
 
 private:
@@ -90,19 +95,20 @@
         explicit Waiter( net::asio::io_context& context ) : timer( context ) {}
         net::Timer timer;
         std::optional<Message> answer;
-        bool ended = false; //!< answered, or given up
+        bool ended = false; //!< answered or failed
     };
 
-    //! Sends a question and waits until `until`, unless the sidecar falls silent.
+    //! Sends a request and waits for its answer until `until`; stops waiting when the sidecar falls
+    //! silent.
     net::Task<std::optional<Message>> askFor( std::uint64_t number, Message question,
                                               MonoTime until );
-    //! The same with a question that has a number and an answer of its own kind.
+    //! Opens the connection, numbers the request, sends it and waits for an answer of type Answer.
     template <typename Answer, typename Ask>
     net::Task<std::optional<Answer>> askAs( Ask ask, Millis limit );
     void takeAnswer( std::uint64_t number, Message answer );
     net::Task<> keepConnected();
     net::Task<> serveConnection( net::Socket socket );
-    //! Sends on the connection, which is up.
+    //! Sends on the connection, which has to be up.
     void transmit( const Message& message );
     void transmit( std::string_view kind, std::string_view encoded );
     void setState( LinkState state );
@@ -115,16 +121,16 @@
     Handlers m_handlers;
     LinkTraffic m_traffic;
     LinkState m_state = LinkState::closed;
-    std::set<net::Timer*> m_opening; //!< of calls of opened() that wait
+    std::set<net::Timer*> m_opening; //!< timers of pending opened() calls
     std::shared_ptr<net::FrameChannel> m_channel;
-    bool m_heard = false;   //!< since the connection came up
+    bool m_heard = false;   //!< a message was received since the connection came up
     bool m_running = false; //!< keepConnected() has not ended
     bool m_relayWanted = false;
     bool m_stopped = false;
-    MonoTime m_usedAt; //!< last question or message
+    MonoTime m_usedAt; //!< last request or message sent
     MonoTime m_upAt;
-    std::vector<Message> m_queued; //!< until the connection is up
-    std::string m_news;            //!< encoded
+    std::vector<Message> m_queued; //!< messages waiting for the connection to come up
+    std::string m_news;            //!< encoded message that names the engine
     SpecTextPtr m_spec;
     std::uint64_t m_nextNumber = 1;
     std::map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters;
--- a/src/gateway/spec_text.hpp
+++ b/src/gateway/spec_text.hpp
@@ -9,10 +9,10 @@
 
 namespace coursehead::gateway {
 
-//! The description of a service's engines, encoded once for all that ask for it.
+//! Description of a service's engines, encoded once for all sidecars that request it.
 struct SpecText {
     EngineSpecKey key = 0;
-    std::string message; //!< a SpecNews
+    std::string message; //!< encoded SpecNews
 };
 using SpecTextPtr = std::shared_ptr<const SpecText>;
 
--- a/src/gateway/status.hpp
+++ b/src/gateway/status.hpp
@@ -2,7 +2,7 @@
 #ifndef COURSEHEAD_GATEWAY_STATUS_HPP_INCLUDED
 #define COURSEHEAD_GATEWAY_STATUS_HPP_INCLUDED
 
-//! Statuses of answers that a gateway gives or understands.
+//! HTTP status codes that a gateway sends or interprets.
 namespace coursehead::gateway {
 
 inline constexpr unsigned statusOk = 200;
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-//! Upstreams' entries change all the time; changes are taken in batches, since each watch call is
-//! paid for. The wait is this part of the time there is to stop sending to one that leaves.
+//! Pause between watch calls on upstreams, as a fraction of the drain bound, the time within which
+//! a gateway must stop sending to a leaving upstream. Entries of upstreams change all the time and
+//! each watch call costs money, so changes are received in batches.
 constexpr double batchPart = 0.4;
-//! After the store has come back from a copy its operators write again what the copy lacks, within
-//! seconds: until then a hall that was to be emptied stays empty. Without it 8 of 24 requests were
-//! sent into one.
+//! After the store is restored from a copy, its operators write again within seconds what the copy
+//! lacks. Until then a hall under evacuation stays evacuated; otherwise requests (8 of 24 in one
+//! case) would be sent there.
 constexpr Millis rewriteTime{ 10000 };
 
 FollowSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
@@ -132,7 +133,7 @@
 }
 
 void StoreFeed::takeEvacuation( const std::string& hall, bool emptied ) {
-    // Written again, or taken back, in the history that goes on.
+    // The evacuation was written again, or ended, after the restore.
     m_heldHalls.erase( hall );
     if( emptied ) {
         m_emptied.insert( hall );
@@ -188,7 +189,7 @@
         if( upstream ) {
             m_registry.put( std::move( *upstream ), now );
         } else {
-            // Gone, or written over by somebody with what names no upstream.
+            // The entry was removed, or overwritten with something that is no valid upstream.
             m_registry.remove( event.object.name, now );
         }
         m_handlers.upstreams();
@@ -225,8 +226,8 @@
         takeUpstreams( news );
         return;
     }
-    // A relay that lives tells of a store that does not answer: what changes seldom needs no clock
-    // of its own.
+    // A live relay reports a store that doesn't answer, and its silence shows in the messages on
+    // upstreams, so parts that rarely change need no time limit of their own.
     const auto until = MonoTime::max();
     if( news.part == StorePart::quarantines ) {
         if( m_quarantines.relayed( news.position, news.whole, until ) ) {
@@ -253,8 +254,8 @@
     m_gotWhole = true;
     const auto now = MonoClock::now();
     const auto until = now + relaySilence( m_settings.bounds );
-    // Changes that were dropped here, because this gateway knew them, are no gap: later ones build
-    // on what it knows.
+    // Changes that are dropped because this gateway knows them already leave no gap: later changes
+    // follow on what it knows.
     if( !m_upstreams.relayed( news.position, news.whole, until ) ) {
         return;
     }
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -16,24 +16,25 @@
 
 namespace coursehead::gateway {
 
-//! What the feed keeps up to date.
+//! Handlers for changes that the feed receives.
 struct FeedHandlers {
-    //! A configuration, as the operator wrote it, at a revision of the store.
+    //! The configuration, as the operator wrote it.
     std::function<void( std::string_view json )> configuration;
-    //! The registry was listed or has changed.
+    //! The registry was filled from a listing, or has changed.
     std::function<void()> upstreams;
-    //! Contents that are not to be sent; some may be known already.
+    //! Quarantined contents, which must not be sent; some may be known already.
     std::function<void( std::span<const decide::Quarantine> entries )> quarantines;
-    //! All halls that are emptied.
+    //! All halls under evacuation.
     std::function<void( const std::set<std::string>& halls )> evacuations;
-    //! A hall is emptied from now on, or no longer.
+    //! The evacuation of a hall has started or ended.
     std::function<void( const std::string& hall, bool emptied )> evacuation;
 };
 
 /**
- * Keeps configuration and registry in line with the store. Each call to the store is paid for, and
- * its rate does not grow with the fleet: changes come through a sidecar that calls it for many
- * gateways. While that relay is silent, or has lost the store, the gateway calls the store itself.
+ * Keeps the registry, the configuration, the quarantines and the evacuations in line with the
+ * store. Each call to the store costs money, and the rate of calls must not grow with the fleet, so
+ * a relay (a sidecar that calls the store for many gateways) delivers the changes. While the relay
+ * is silent or has lost the store, the gateway calls the store itself.
  */
 class StoreFeed {
 public:
@@ -42,10 +43,10 @@
                FeedHandlers handlers );
 
     void start();
-    //! Regular work: looks after the relay.
+    //! Periodic work: checks the relay and replaces it if needed.
     void tick( MonoTime now );
     bool upstreamsListed() const noexcept { return m_listed; }
-    //! True while changes of the configuration are heard of.
+    //! True while the gateway receives changes of the configuration.
     bool configurationCurrent() const noexcept {
         return !m_relay.empty() || m_configuration.reachable();
     }
@@ -58,25 +59,25 @@
     void takeEvacuations( const StoreNews& news );
     void takeEvacuations( std::set<std::string> halls, MonoTime now );
     void takeEvacuation( const std::string& hall, bool emptied );
-    //! Halls that only the store's former history named: kept until they may be taken for no longer
-    //! emptied.
+    //! Ends the evacuation of halls that only the store's history before its restore names, once
+    //! they have not been written again in time.
     void expireHeldHalls( MonoTime now );
     void takeQuarantine( const platform::StoreObject& object );
     void takeObject( const platform::StoreObject& object ) const;
     void takeListing( std::vector<Upstream> upstreams );
     void takeNews( const std::string& upstreamId, const StoreNews& news );
     void takeUpstreams( const StoreNews& news );
-    //! Finds a relay before anything is known, and begins to follow the store.
+    //! Finds a relay at start, before the gateway knows any upstream, and starts the followers.
     net::Task<> begin();
-    //! Upstreams that may stand beside a relay, by a list that may be seconds old.
+    //! Upstreams whose sidecars can relay, from a list that may be some seconds old.
     net::Task<std::vector<Upstream>> findRelays();
     std::vector<Upstream> enginesOf( std::span<const platform::StoreObject> objects );
-    //! Subscribes at one of them; true when all parts of the store have come from it.
+    //! Subscribes to the sidecar of an upstream; true when it has delivered all parts of the store.
     net::Task<bool> tryRelay( const Upstream& upstream );
-    //! `patience`: how long another relay has to speak before this gateway calls the store itself.
+    //! `patience`: time for another relay to deliver before this gateway calls the store itself.
     void leaveRelay( std::string_view why, Millis patience, MonoTime now );
     void seekRelay( MonoTime now );
-    //! Takes the store's changes from this sidecar from now on.
+    //! Receives the store's changes from this sidecar from now on.
     void useRelay( const std::string& upstreamId, std::shared_ptr<SidecarLink> link, MonoTime now );
     bool knowsAll() const;
 
@@ -92,18 +93,18 @@
     Follower m_evacuations;
     bool m_listed = false;
     platform::StoreClient m_store;
-    bool m_begun = false; //!< the followers run
-    std::string m_relay;  //!< upstream id; empty: none
+    bool m_begun = false; //!< the followers are running
+    std::string m_relay;  //!< upstream id of the relay; empty: none
     std::shared_ptr<SidecarLink> m_relayLink;
-    int m_relayGateways = 1;           //!< among which the relay was chosen
-    std::set<StorePart> m_relayed;     //!< parts that a relay has given whole
-    MonoTime m_relayHeard;             //!< its last word on upstreams
-    MonoTime m_relayChecked;           //!< when the choice was last looked at
-    std::set<std::string> m_emptied;   //!< halls, as the store says
-    std::set<std::string> m_heldHalls; //!< halls, as it said before it came back from a copy
+    int m_relayGateways = 1;           //!< number of gateways at the choice of the relay
+    std::set<StorePart> m_relayed;     //!< parts of which the relay has sent a snapshot
+    MonoTime m_relayHeard;             //!< last message on upstreams from the relay
+    MonoTime m_relayChecked;           //!< when the choice of the relay was last checked
+    std::set<std::string> m_emptied;   //!< halls under evacuation in the store
+    std::set<std::string> m_heldHalls; //!< halls under evacuation before the store's restore
     MonoTime m_heldUntil;
-    bool m_gotWhole = false;                   //!< of the upstreams, from this relay
-    std::map<std::string, MonoTime> m_avoided; //!< former relays, until when
+    bool m_gotWhole = false;                   //!< a snapshot of the upstreams came from this relay
+    std::map<std::string, MonoTime> m_avoided; //!< former relays, with the end of their avoidance
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/store_feed_relay.cpp
+++ b/src/gateway/store_feed_relay.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-// Through which sidecar a gateway hears of the store's changes: found at start, kept, replaced.
+// The relay, a sidecar from which a gateway receives the store's changes: its choice at start,
+// checks and replacement.
 #include "coursehead/kernel/log.hpp"
 #include "gateway/relay_choice.hpp"
 #include "gateway/relay_times.hpp"
@@ -11,26 +12,27 @@
 
 namespace {
 
-//! A relay that failed is not asked again for this long.
+//! A relay that failed is not chosen again for this long.
 constexpr Millis relayAvoided{ 3000 };
-//! How often a gateway looks whether the relay that all should use is another one.
+//! Interval at which a gateway checks whether another relay is the right one for it now.
 constexpr Millis relayRecheck{ 3000 };
-//! A relay that is lost for its connection has spoken a moment ago: another one takes its place
-//! within this, or the gateway calls the store itself.
+//! A relay whose connection is lost was alive a moment ago, so there is time for another one to
+//! take its place; after this time the gateway calls the store itself.
 constexpr Millis relayChange{ 400 };
-//! The choice of a relay is made anew when there are this many times more gateways, or fewer.
+//! The relay is chosen for a new number of gateways when that is more than this many times larger
+//! or smaller than at the last choice.
 constexpr int gatewaysChange = 2;
-//! At start: relays that are tried in turn, how long each has to pass everything on (it lists the
-//! store first if nobody has asked it before), and how long all of them have: where everything has
-//! ended at once they are starting too.
+//! At start: number of relays that are tried in turn, the time that each has to deliver everything
+//! (a sidecar that is not a relay yet lists the store first), and the time for all attempts, which
+//! are repeated because after an outage of everything the sidecars are starting too.
 constexpr int firstTries = 3;
 constexpr Millis firstNews{ 700 };
 constexpr Millis firstRelayLimit{ 1500 };
 constexpr Millis tryAgain{ 100 };
-//! At start, until a gateway calls the store itself though no upstream is listed yet.
+//! At start, longest wait for a list with upstreams; after it the gateway calls the store itself.
 constexpr Millis listedLimit{ 3000 };
 constexpr Millis listAgain{ 200 };
-//! The same on the deployment's first start: entries are written over some seconds.
+//! The same at the deployment's first start, where entries are written over some seconds.
 constexpr Millis firstListedLimit{ 6000 };
 constexpr Millis firstListAgain{ 1000 };
 constexpr Millis firstLook{ 10 };
@@ -45,7 +47,7 @@
     for( const auto& it : upstreams ) {
         candidates.push_back( { it.id, true, false } );
     }
-    // How many gateways there are nobody knows yet; there are about as many as upstreams.
+    // The number of gateways is not known yet; it is about the number of upstreams.
     const auto gateways = static_cast<int>( candidates.size() );
     const auto until = MonoClock::now() + firstRelayLimit;
     m_relayGateways = std::max( gateways, 1 );
@@ -83,8 +85,8 @@
         const auto page = co_await m_store.firstPage( platform::upstreamKind, listLimit,
                                                       platform::ListAge::secondsOld );
         out = enginesOf( page.objects );
-        // Where all has just started entries are still being written: a choice among some of them
-        // would be made again and again.
+        // At the deployment's first start entries are still being written: a choice among the first
+        // of them would be changed again and again, so the list has to stop growing first.
         const bool settled = !first || ( !out.empty() && out.size() == before );
         const bool listed = page.status == platform::StoreStatus::ok && !page.objects.empty();
         if( listed && settled ) {
@@ -100,7 +102,7 @@
     std::vector<Upstream> out;
     for( const auto& it : objects ) {
         auto upstream = m_reader.upstream( it );
-        // Sidecars stand beside engines, and engines hold models.
+        // Only engines have sidecars, and only engines hold models.
         if( upstream && !upstream->residents.empty() ) {
             out.push_back( std::move( *upstream ) );
         }
--- a/src/gateway/store_objects.cpp
+++ b/src/gateway/store_objects.cpp
@@ -7,9 +7,11 @@
 
 namespace {
 
-//! Unreadable objects remembered; when there are more, some are logged again.
+//! Largest number of unreadable objects remembered. Beyond it all are forgotten, so some are logged
+//! again.
 constexpr std::size_t mostUnreadable = 8192;
-//! A problem quotes the value at fault, which may be a megabyte long.
+//! Largest length of a problem in the log, because it quotes the invalid value, which may be a
+//! megabyte long.
 constexpr std::size_t mostDetail = 200;
 
 } // namespace
--- a/src/gateway/store_objects.hpp
+++ b/src/gateway/store_objects.hpp
@@ -11,19 +11,19 @@
 
 namespace coursehead::gateway {
 
-//! Reads what the store holds. Others write there too: an object that can't be read names nothing,
-//! and is logged once for each of its changes, not at each look.
+//! Parses objects of the store. Other programs write there too, so an object may be unreadable: it
+//! yields no value, and is logged once per revision, not at each attempt.
 class ObjectReader {
 public:
     std::optional<Upstream> upstream( const platform::StoreObject& object );
-    //! A quarantine, less the time that has passed.
+    //! A quarantine, with the time that is left of it.
     std::optional<decide::Quarantine> quarantine( const platform::StoreObject& object );
 
 private:
     void noteUnreadable( const platform::StoreObject& object, std::string_view what,
                          const std::string& problem );
 
-    std::map<std::string, std::uint64_t> m_unreadable; //!< revisions by name, as logged
+    std::map<std::string, std::uint64_t> m_unreadable; //!< logged revisions, by object name
 };
 
 } // namespace coursehead::gateway
