--- a/src/gateway/fleet_links.cpp
+++ b/src/gateway/fleet_links.cpp
@@ -11,7 +11,7 @@
 
 //! A connection without a request for this long is not in use. The time is longer than the delay
 //! after which a refused caller retries, and than a load from the weight store.
-constexpr Millis linkRest{ 10000 };
+constexpr Millis linkIdleTime{ 10000 };
 
 decide::Nearness nearnessOf( Distance distance ) {
     if( distance.otherRegion ) {
@@ -28,7 +28,7 @@
     out.id = node.upstream.id;
     out.nearness = nearnessOf( distanceTo( node ) );
     out.open = link.state() != LinkState::closed;
-    out.inUse = node.inFlight > 0 || !link.unusedSince( now - linkRest );
+    out.inUse = node.inFlight > 0 || !link.unusedSince( now - linkIdleTime );
     out.failing = link.state() == LinkState::failing;
     return out;
 }
--- a/src/gateway/fleet_members.cpp
+++ b/src/gateway/fleet_members.cpp
@@ -13,7 +13,7 @@
 constexpr int hashBits = 64;
 //! Largest number of changed upstreams that are logged one by one; for more, as at start, only the
 //! counts are logged.
-constexpr std::size_t mostNamed = 32;
+constexpr std::size_t maxLoggedUpstreams = 32;
 
 void logAdded( const Upstream& upstream ) {
     log::info( "upstream_added",
@@ -37,25 +37,25 @@
 
 void Fleet::sync( const std::map<std::string, Member>& members,
                   const std::set<std::string>& changed, MonoTime now ) {
-    const auto before = m_nodes.size();
-    const bool each = changed.size() <= mostNamed;
+    const auto countBefore = m_nodes.size();
+    const bool logEach = changed.size() <= maxLoggedUpstreams;
     for( const auto& id : changed ) {
         const auto member = members.find( id );
         if( member == members.end() ) {
             remove( id );
         } else if( !m_nodes.contains( id ) ) {
             add( member->second.upstream, now );
-            if( each ) {
+            if( logEach ) {
                 logAdded( member->second.upstream );
             }
         } else {
             update( *m_nodes.at( id ), member->second.upstream, now );
         }
     }
-    if( !each ) {
+    if( !logEach ) {
         log::info( "upstreams_changed",
                    { { "changed", static_cast<std::int64_t>( changed.size() ) },
-                     { "before", static_cast<std::int64_t>( before ) },
+                     { "before", static_cast<std::int64_t>( countBefore ) },
                      { "now", static_cast<std::int64_t>( m_nodes.size() ) } } );
     }
     if( !changed.empty() ) {
@@ -78,19 +78,19 @@
     if( isFormer( listed.born, node.upstream.born ) ) {
         return;
     }
-    const bool anew = isFormer( node.upstream.born, listed.born );
-    if( anew ) {
+    const bool restarted = isFormer( node.upstream.born, listed.born );
+    if( restarted ) {
         restart( node, listed.born, now );
     }
     if( node.upstream.state != listed.state ) {
         log::info( "upstream_leaving", { { "upstream", listed.id } } );
     }
-    const bool turnedCold = listed.cold > node.upstream.cold;
+    const bool becameCold = listed.cold > node.upstream.cold;
     node.upstream = listed;
-    if( anew ) {
+    if( restarted ) {
         setEngine( node );
     }
-    if( anew || turnedCold ) {
+    if( restarted || becameCold ) {
         node.noteCold( node.upstream.cold, now );
     }
     if( node.upstream.remaining && !node.leavesAt ) {
--- a/src/gateway/follower.cpp
+++ b/src/gateway/follower.cpp
@@ -13,18 +13,18 @@
 
 //! Delay after a failed call. It is short, because a process is not ready after an outage before a
 //! call succeeds, and jittered, because all processes retry at that time.
-constexpr Millis firstRetry{ 60 };
-constexpr Millis lastRetry{ 400 };
+constexpr Millis firstRetryDelay{ 60 };
+constexpr Millis maxRetryDelay{ 400 };
 //! For this long after the store answers again the pause between watch calls is shorter, because
 //! upstreams write their entries again then.
-constexpr Millis eagerTime{ 4000 };
-constexpr Millis eagerPause{ 150 };
+constexpr Millis recoveryTime{ 4000 };
+constexpr Millis recoveryPause{ 150 };
 //! Longest time between two checks whether the relay's delivery is still current. It can be long,
 //! because relayLost() ends the wait.
-constexpr Millis relayLook{ 60000 };
+constexpr Millis relayCheckInterval{ 60000 };
 //! An answer that took this much longer than the requested wait doesn't show that the store is
 //! reachable now, because the process may have been stopped in between.
-constexpr Millis lateAnswer{ 1000 };
+constexpr Millis lateAnswerSlack{ 1000 };
 
 std::string_view nameOf( StoreStatus status ) {
     switch( status ) {
@@ -50,14 +50,14 @@
                     FollowSettings settings, RandomSource& random, FollowHandlers handlers )
     : m_context( context ), m_settings( std::move( settings ) ), m_random( random ),
       m_handlers( std::move( handlers ) ), m_client( context, store, m_settings.metrics ),
-      m_retry( firstRetry ), m_relayOver( context ) {}
+      m_retryDelay( firstRetryDelay ), m_relayTimer( context ) {}
 
 void Follower::setReachable( bool reachable, std::string_view status ) {
     if( reachable == m_reachable ) {
         return;
     }
     m_reachable = reachable;
-    m_eagerUntil = MonoClock::now() + eagerTime;
+    m_recoveryUntil = MonoClock::now() + recoveryTime;
     log::info( reachable ? "store_regained" : "store_lost",
                { { "kind", m_settings.kind },
                  { "status", status },
@@ -78,26 +78,26 @@
         m_handlers.restored();
     }
     m_position = position;
-    m_known = true;
+    m_hasPosition = true;
     m_listed = true;
 }
 
-bool Follower::relayed( StorePosition position, bool whole, MonoTime until ) {
+bool Follower::relayed( StorePosition position, bool complete, MonoTime until ) {
     const auto continuity = decide::continuityOf( m_position, position );
-    const bool restored = m_known && continuity == Continuity::otherHistory;
-    if( continuity == Continuity::former || ( restored && !whole ) ) {
+    const bool restored = m_hasPosition && continuity == Continuity::otherHistory;
+    if( continuity == Continuity::former || ( restored && !complete ) ) {
         return false;
     }
     moveTo( position, restored );
     m_relayedUntil = until;
-    m_retry = firstRetry;
+    m_retryDelay = firstRetryDelay;
     setReachable( true, "relayed" );
     return true;
 }
 
 void Follower::relayLost( MonoTime from ) {
     m_relayedUntil = std::min( m_relayedUntil, from );
-    m_relayOver.cancel();
+    m_relayTimer.cancel();
 }
 
 net::Task<StoreStatus> Follower::list() {
@@ -106,7 +106,7 @@
         co_return result.status;
     }
     const auto continuity = decide::continuityOf( m_position, result.position );
-    const bool restored = m_known && continuity == Continuity::otherHistory;
+    const bool restored = m_hasPosition && continuity == Continuity::otherHistory;
     // A relay was faster, or the store has been restored from a copy since this answer.
     const bool overtaken = m_listed || result.position.era < m_position.era;
     if( restored || !overtaken ) {
@@ -117,13 +117,13 @@
 }
 
 net::Task<StoreStatus> Follower::watch() {
-    const auto asked = m_position;
+    const auto startPosition = m_position;
     // After an outage or a doubtful call the watch doesn't wait, to find out at once whether the
     // store still has the same history.
-    const Millis wait = m_reachable && !m_doubted ? m_settings.wait : Millis{ 0 };
-    const auto result = co_await m_client.watch( m_settings.kind, asked.revision, wait );
+    const Millis wait = m_reachable && !m_lastCallCutShort ? m_settings.wait : Millis{ 0 };
+    const auto result = co_await m_client.watch( m_settings.kind, startPosition.revision, wait );
     // A relay was faster, and has delivered these changes and later ones.
-    const bool overtaken = m_position != asked;
+    const bool overtaken = m_position != startPosition;
     if( overtaken ) {
         co_return result.status;
     }
@@ -134,10 +134,10 @@
     if( result.status != StoreStatus::ok ) {
         co_return result.status;
     }
-    if( result.position.era < asked.era ) {
+    if( result.position.era < startPosition.era ) {
         co_return StoreStatus::former;
     }
-    if( result.position.era > asked.era ) {
+    if( result.position.era > startPosition.era ) {
         // The revisions belong to another history, so the events don't hold all changes in between.
         m_listed = false;
         co_return StoreStatus::expired;
@@ -150,17 +150,17 @@
 }
 
 net::Task<StoreStatus> Follower::callStore() {
-    const auto began = MonoClock::now();
-    const auto longest = m_listed ? m_settings.wait : m_settings.callLimit;
+    const auto startedAt = MonoClock::now();
+    const auto timeLimit = m_listed ? m_settings.wait : m_settings.callLimit;
     StoreStatus status = StoreStatus::ok;
     if( m_listed ) {
         status = co_await watch();
     } else {
         status = co_await list();
     }
-    const auto took = MonoClock::now() - began;
-    judge( status, took < longest );
-    const bool current = took < m_settings.wait + lateAnswer;
+    const auto elapsed = MonoClock::now() - startedAt;
+    recordCall( status, elapsed < timeLimit );
+    const bool current = elapsed < m_settings.wait + lateAnswerSlack;
     if( status == StoreStatus::ok && current && m_handlers.synced ) {
         m_handlers.synced( m_position );
     }
@@ -170,40 +170,41 @@
 //! A store that cuts off its callers once, for example because it drops its history, answers the
 //! next call, so one failure before the time limit doesn't count as an outage. A store that doesn't
 //! answer in time may have been away for long.
-void Follower::judge( StoreStatus status, bool early ) {
-    const bool up = status == StoreStatus::ok || status == StoreStatus::expired;
-    if( !up && early && m_reachable && !m_doubted ) {
-        m_doubted = true;
+void Follower::recordCall( StoreStatus status, bool beforeLimit ) {
+    const bool answered = status == StoreStatus::ok || status == StoreStatus::expired;
+    if( !answered && beforeLimit && m_reachable && !m_lastCallCutShort ) {
+        m_lastCallCutShort = true;
         return;
     }
-    m_doubted = false;
-    if( up || MonoClock::now() >= m_relayedUntil ) {
-        setReachable( up, nameOf( status ) );
+    m_lastCallCutShort = false;
+    if( answered || MonoClock::now() >= m_relayedUntil ) {
+        setReachable( answered, nameOf( status ) );
     }
-    if( up ) {
-        m_retry = firstRetry;
+    if( answered ) {
+        m_retryDelay = firstRetryDelay;
     }
 }
 
 Millis Follower::retryDelay() {
-    const auto span = static_cast<std::uint64_t>( m_retry.count() );
+    const auto span = static_cast<std::uint64_t>( m_retryDelay.count() );
     const Millis out{ static_cast<std::int64_t>( span / 2 + m_random.below( span ) ) };
-    m_retry = std::min( m_retry * 2, lastRetry );
+    m_retryDelay = std::min( m_retryDelay * 2, maxRetryDelay );
     return out;
 }
 
 net::Task<> Follower::run() {
     while( !m_stopped ) {
         if( MonoClock::now() < m_relayedUntil ) {
-            m_relayOver.expires_at( std::min( m_relayedUntil, MonoClock::now() + relayLook ) );
-            co_await m_relayOver.async_wait( net::tupled );
+            m_relayTimer.expires_at(
+                std::min( m_relayedUntil, MonoClock::now() + relayCheckInterval ) );
+            co_await m_relayTimer.async_wait( net::tupled );
             continue;
         }
         const auto status = co_await callStore();
         Millis delay{ 0 };
         if( status == StoreStatus::ok ) {
-            const bool eager = MonoClock::now() < m_eagerUntil;
-            delay = eager ? std::min( m_settings.pause, eagerPause ) : m_settings.pause;
+            const bool recovering = MonoClock::now() < m_recoveryUntil;
+            delay = recovering ? std::min( m_settings.pause, recoveryPause ) : m_settings.pause;
         } else if( status != StoreStatus::expired ) {
             delay = retryDelay();
         }
--- a/src/gateway/follower.hpp
+++ b/src/gateway/follower.hpp
@@ -49,11 +49,11 @@
     void stop() { m_stopped = true; }
 
     /**
-     * Takes note that a relay has delivered everything up to a position, as a `whole` snapshot or
-     * as changes; the follower makes no calls until `until`. Returns false when the delivery has to
-     * be dropped, because the follower is ahead of it or the changes belong to another history.
+     * Takes note that a relay has delivered everything up to a position, as a `complete` snapshot
+     * or as changes; the follower makes no calls until `until`. Returns false when the delivery has
+     * to be dropped, because the follower is ahead of it or the changes belong to another history.
      */
-    bool relayed( decide::StorePosition position, bool whole, MonoTime until );
+    bool relayed( decide::StorePosition position, bool complete, MonoTime until );
     //! The relay is lost, or has lost the store: the follower calls the store from `from` on,
     //! unless another relay has delivered something by then.
     void relayLost( MonoTime from );
@@ -64,8 +64,8 @@
 
 private:
     net::Task<platform::StoreStatus> callStore();
-    //! Records the result of a call; `early` when it ended before its time limit.
-    void judge( platform::StoreStatus status, bool early );
+    //! Records the result of a call; `beforeLimit` when it ended before its time limit.
+    void recordCall( platform::StoreStatus status, bool beforeLimit );
     net::Task<platform::StoreStatus> list();
     net::Task<platform::StoreStatus> watch();
     void setReachable( bool reachable, std::string_view status );
@@ -81,14 +81,14 @@
     bool m_stopped = false;
     bool m_listed = false;
     bool m_reachable = false;
-    bool m_doubted =
+    bool m_lastCallCutShort =
         false; //!< the last call was cut short; the next one decides whether the store is lost
-    bool m_known = false; //!< something has been delivered
+    bool m_hasPosition = false; //!< something has been delivered
     decide::StorePosition m_position;
-    Millis m_retry;
-    MonoTime m_eagerUntil;
+    Millis m_retryDelay;
+    MonoTime m_recoveryUntil;
     MonoTime m_relayedUntil;
-    net::Timer m_relayOver; //!< wait for m_relayedUntil
+    net::Timer m_relayTimer; //!< wait for m_relayedUntil
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/link_traffic.hpp
+++ b/src/gateway/link_traffic.hpp
@@ -18,14 +18,14 @@
  */
 struct LinkTraffic {
     metrics::Metrics* metrics = nullptr; //!< null: messages are not counted
-    std::string_view where = "unknown";
+    std::string_view location = "unknown";
 
-    void note( Direction direction, std::string_view kind, std::size_t bytes ) const {
+    void countMessage( Direction direction, std::string_view kind, std::size_t bytes ) const {
         if( metrics == nullptr ) {
             return;
         }
         std::string reason( direction == Direction::in ? "in " : "out " );
-        reason.append( kind ).append( " " ).append( where );
+        reason.append( kind ).append( " " ).append( location );
         metrics->count( "sidecar_messages", reason );
         metrics->count( "sidecar_bytes", reason, bytes );
     }
--- a/src/gateway/registry.cpp
+++ b/src/gateway/registry.cpp
@@ -10,28 +10,29 @@
 
 //! Departed starts are remembered for longer than the age of any copy of the store, so that a copy
 //! can't bring them back.
-constexpr auto leftKept = std::chrono::minutes( 10 );
+constexpr auto departedRetention = std::chrono::minutes( 10 );
 
 //! True when a draining member has to stay so: a draining start never becomes ready again, but the
 //! store may have been restored from a copy that is older than its drain.
-bool leavesForGood( const Upstream& known, const Upstream& told ) {
-    return known.state == UpstreamState::draining && told.born <= known.born;
+bool keepsDraining( const Upstream& known, const Upstream& listed ) {
+    return known.state == UpstreamState::draining && listed.born <= known.born;
 }
 
 } // namespace
 
-bool Registry::hasLeft( const Upstream& upstream ) const {
-    const auto it = m_left.find( upstream.id );
-    return it != m_left.end() && upstream.born <= it->second.born;
+bool Registry::hasDeparted( const Upstream& upstream ) const {
+    const auto it = m_departed.find( upstream.id );
+    return it != m_departed.end() && upstream.born <= it->second.born;
 }
 
-void Registry::noteLeft( const Upstream& upstream, MonoTime now ) {
-    std::erase_if( m_left, [now]( const auto& it ) { return now - it.second.at > leftKept; } );
-    m_left[upstream.id] = { upstream.born, now };
+void Registry::recordDeparture( const Upstream& upstream, MonoTime now ) {
+    std::erase_if( m_departed,
+                   [now]( const auto& it ) { return now - it.second.at > departedRetention; } );
+    m_departed[upstream.id] = { upstream.born, now };
 }
 
-bool Registry::storeTrouble( MonoTime now ) const {
-    return !m_reachable || ( m_troubleEnd && now - *m_troubleEnd < m_settings.lapseHold );
+bool Registry::storeUnreliable( MonoTime now ) const {
+    return !m_reachable || ( m_storeBackAt && now - *m_storeBackAt < m_settings.missingEntryHold );
 }
 
 void Registry::list( std::vector<Upstream> upstreams, MonoTime now ) {
@@ -56,19 +57,19 @@
     if( known != m_members.end() && isFormer( upstream.born, known->second.upstream.born ) ) {
         return;
     }
-    if( hasLeft( upstream ) ) {
+    if( hasDeparted( upstream ) ) {
         return;
     }
-    if( known != m_members.end() && leavesForGood( known->second.upstream, upstream ) ) {
+    if( known != m_members.end() && keepsDraining( known->second.upstream, upstream ) ) {
         upstream.state = UpstreamState::draining;
         upstream.remaining = known->second.upstream.remaining;
     }
     // Entries of former starts live on for some heartbeats. Of two entries with one address the one
     // that was created later is valid.
     const auto address = addressOf( upstream );
-    const auto there = m_byAddress.find( address );
-    if( there != m_byAddress.end() && there->second != upstream.id ) {
-        const std::string other = there->second;
+    const auto sameAddress = m_byAddress.find( address );
+    if( sameAddress != m_byAddress.end() && sameAddress->second != upstream.id ) {
+        const std::string other = sameAddress->second;
         if( m_members.at( other ).upstream.created > upstream.created ) {
             return;
         }
@@ -102,9 +103,9 @@
     }
     const bool leaving = it->second.upstream.state == UpstreamState::draining;
     if( leaving ) {
-        noteLeft( it->second.upstream, now );
+        recordDeparture( it->second.upstream, now );
     }
-    if( leaving || !storeTrouble( now ) ) {
+    if( leaving || !storeUnreliable( now ) ) {
         erase( id );
         return;
     }
@@ -113,22 +114,22 @@
 
 void Registry::storeReachable( bool reachable, MonoTime now ) {
     if( reachable && !m_reachable ) {
-        m_troubleEnd = now;
+        m_storeBackAt = now;
     }
     m_reachable = reachable;
 }
 
 void Registry::expire( MonoTime now ) {
-    if( storeTrouble( now ) ) {
+    if( storeUnreliable( now ) ) {
         return;
     }
-    std::vector<std::string> over;
+    std::vector<std::string> expired;
     for( const auto& [id, member] : m_members ) {
         if( member.missing ) {
-            over.push_back( id );
+            expired.push_back( id );
         }
     }
-    for( const auto& id : over ) {
+    for( const auto& id : expired ) {
         erase( id );
     }
 }
--- a/src/gateway/registry.hpp
+++ b/src/gateway/registry.hpp
@@ -27,7 +27,8 @@
 class Registry {
 public:
     struct Settings {
-        Millis lapseHold{ 2000 }; //!< after an outage, time for lapsed entries to be written again
+        Millis missingEntryHold{
+            2000 }; //!< after an outage, time for lapsed entries to be written again
     };
     explicit Registry( Settings settings ) : m_settings( settings ) {}
 
@@ -39,7 +40,7 @@
     void storeReachable( bool reachable, MonoTime now );
     //! Records that the store was restored from a copy: entries that the copy lacks are kept for a
     //! while, until they are written again.
-    void storeRestored( MonoTime now ) { m_troubleEnd = now; }
+    void storeRestored( MonoTime now ) { m_storeBackAt = now; }
     //! Removes missing entries when the hold after an outage is over.
     void expire( MonoTime now );
 
@@ -52,22 +53,22 @@
 
     static Address addressOf( const Upstream& upstream ) { return { upstream.ip, upstream.port }; }
     void erase( const std::string& id );
-    bool storeTrouble( MonoTime now ) const;
-    bool hasLeft( const Upstream& upstream ) const;
-    void noteLeft( const Upstream& upstream, MonoTime now );
+    bool storeUnreliable( MonoTime now ) const;
+    bool hasDeparted( const Upstream& upstream ) const;
+    void recordDeparture( const Upstream& upstream, MonoTime now );
 
     Settings m_settings;
     //! A start of an upstream that was draining when its entry disappeared.
-    struct Left {
+    struct DepartedStart {
         Born born = 0;
         MonoTime at;
     };
     std::map<std::string, Member> m_members;
     std::map<Address, std::string> m_byAddress; //!< ids of the members
     std::set<std::string> m_changed;
-    std::map<std::string, Left> m_left; //!< by id
+    std::map<std::string, DepartedStart> m_departed; //!< by id
     bool m_reachable = false;
-    std::optional<MonoTime> m_troubleEnd; //!< when the store last answered again or was restored
+    std::optional<MonoTime> m_storeBackAt; //!< when the store last answered again or was restored
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/relay_times.hpp
+++ b/src/gateway/relay_times.hpp
@@ -12,8 +12,9 @@
 //! a gateway whose relay falls silent has to have called the store itself well before that.
 namespace coursehead::gateway {
 
-inline Millis partOf( Millis whole, double part ) {
-    return Millis( static_cast<std::int64_t>( static_cast<double>( whole.count() ) * part ) );
+inline Millis fractionOf( Millis duration, double fraction ) {
+    return Millis(
+        static_cast<std::int64_t>( static_cast<double>( duration.count() ) * fraction ) );
 }
 
 //! Length of a watch call on the configuration, or of a gateway's own watch call on upstreams. A
@@ -21,29 +22,30 @@
 //! before the process counts as in contact with the store again: from then on it is expected to
 //! know every change.
 inline Millis watchWait( const platform::Bounds& bounds ) {
-    constexpr double inTime = 0.9;
-    constexpr double least = 0.3; // used where the contact bound is hardly longer than the slack
-    return std::max( partOf( bounds.contact, inTime ) - platform::watchSlack,
-                     partOf( bounds.contact, least ) );
+    constexpr double contactFraction = 0.9;
+    constexpr double minContactFraction =
+        0.3; // used where the contact bound is hardly longer than the slack
+    return std::max( fractionOf( bounds.contact, contactFraction ) - platform::watchSlack,
+                     fractionOf( bounds.contact, minContactFraction ) );
 }
 
 //! Length of a relay's watch call on upstreams; the relay sends a message after each call.
 inline Millis relayWait( const platform::Bounds& bounds ) {
-    constexpr double part = 0.33;
-    return partOf( bounds.drain, part );
+    constexpr double fraction = 0.33;
+    return fractionOf( bounds.drain, fraction );
 }
 
 //! Pause between a relay's calls, so that changes arrive in batches.
 inline Millis relayPause( const platform::Bounds& bounds ) {
-    constexpr double part = 0.15;
-    return partOf( bounds.drain, part );
+    constexpr double fraction = 0.15;
+    return fractionOf( bounds.drain, fraction );
 }
 
 //! Silence after which a gateway drops its relay: one watch call, one pause, and about a sixth of
 //! the drain bound for the network.
 inline Millis relaySilence( const platform::Bounds& bounds ) {
-    constexpr double part = 0.65;
-    return partOf( bounds.drain, part );
+    constexpr double fraction = 0.65;
+    return fractionOf( bounds.drain, fraction );
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -8,25 +8,25 @@
 namespace {
 
 constexpr Millis connectLimit{ 500 };
-constexpr Millis retryPause{ 250 };
-constexpr Millis lastRetryPause{ 1000 };
+constexpr Millis firstRetryDelay{ 250 };
+constexpr Millis maxRetryDelay{ 1000 };
 //! A sidecar sends something every 500 ms at the latest; after three missed messages the connection
 //! counts as dead.
-constexpr Millis silence{ 1500 };
+constexpr Millis silenceLimit{ 1500 };
 //! Requests are not sent to a sidecar that has been silent for this long. A running sidecar sends a
 //! report every 450 ms at the latest, and waiting for one that hangs would cost a client's request
 //! half of its time.
-constexpr Millis askSilence{ 700 };
+constexpr Millis requestSilenceLimit{ 700 };
 //! Interval at which a pending request checks whether the sidecar has fallen silent.
-constexpr Millis silenceLook{ 200 };
+constexpr Millis silenceCheckInterval{ 200 };
 //! The sidecar answers when a request's limit is over. Added to the limit, this covers the network
 //! round trip and a late event loop at both ends.
-constexpr Millis answerDelay{ 60 };
+constexpr Millis answerSlack{ 60 };
 //! A working sidecar sends its first message within some milliseconds of the connect; one that has
 //! sent nothing after this time counts as unreachable.
-constexpr Millis firstWord{ 250 };
+constexpr Millis firstMessageLimit{ 250 };
 //! Largest number of messages queued while the link is connecting.
-constexpr std::size_t mostQueued = 64;
+constexpr std::size_t maxQueuedMessages = 64;
 
 } // namespace
 
@@ -34,7 +34,7 @@
     : m_context( context ), m_ip( std::move( ip ) ), m_port( port ) {}
 
 void SidecarLink::wakeOpening() {
-    for( auto* it : m_opening ) {
+    for( auto* it : m_openingTimers ) {
         it->cancel();
     }
 }
@@ -45,7 +45,7 @@
 }
 
 void SidecarLink::transmit( std::string_view kind, std::string_view encoded ) {
-    m_traffic.note( Direction::out, kind, encoded.size() );
+    m_traffic.countMessage( Direction::out, kind, encoded.size() );
     m_channel->send( encoded );
 }
 
@@ -67,7 +67,7 @@
 
 void SidecarLink::close() {
     setState( LinkState::closed );
-    m_queued.clear();
+    m_queuedMessages.clear();
     if( m_channel ) {
         m_channel->close();
     }
@@ -86,26 +86,26 @@
 
 bool SidecarLink::untried( MonoTime now ) const {
     if( up() ) {
-        return !m_heard && now - m_upAt < firstWord;
+        return !m_messageReceived && now - m_upAt < firstMessageLimit;
     }
     return m_state != LinkState::failing;
 }
 
 net::Task<bool> SidecarLink::opened( Millis limit ) {
-    const auto me = shared_from_this();
+    const auto self = shared_from_this();
     auto now = MonoClock::now();
     const auto until = now + limit;
-    m_usedAt = now;
+    m_lastUse = now;
     open();
     net::Timer timer( m_context );
     while( !m_stopped && now < until && untried( now ) ) {
-        m_opening.insert( &timer );
-        timer.expires_at( std::min( until, now + firstWord ) );
+        m_openingTimers.insert( &timer );
+        timer.expires_at( std::min( until, now + firstMessageLimit ) );
         co_await timer.async_wait( net::tupled );
         now = MonoClock::now();
     }
-    m_opening.erase( &timer );
-    co_return up() && m_heard;
+    m_openingTimers.erase( &timer );
+    co_return up() && m_messageReceived;
 }
 
 void SidecarLink::setNews( EngineNews news, SpecTextPtr spec ) {
@@ -113,12 +113,12 @@
     news.spec = m_spec ? m_spec->key : 0;
     const Message message( std::move( news ) );
     auto encoded = encode( message );
-    if( encoded == m_news ) {
+    if( encoded == m_engineUpdate ) {
         return;
     }
-    m_news = std::move( encoded );
+    m_engineUpdate = std::move( encoded );
     if( up() ) {
-        transmit( "engine_news", m_news );
+        transmit( "engine_news", m_engineUpdate );
     }
 }
 
@@ -126,7 +126,7 @@
     if( !up() ) {
         return;
     }
-    if( MonoClock::now() - m_channel->lastHeard() > silence ) {
+    if( MonoClock::now() - m_channel->lastHeard() > silenceLimit ) {
         log::info( "sidecar_silent", { { "ip", m_ip } } );
         m_channel->close();
         return;
@@ -135,12 +135,12 @@
 }
 
 void SidecarLink::send( const Message& message ) {
-    m_usedAt = MonoClock::now();
+    m_lastUse = MonoClock::now();
     open();
     if( up() ) {
         transmit( message );
-    } else if( m_state == LinkState::connecting && m_queued.size() < mostQueued ) {
-        m_queued.push_back( message );
+    } else if( m_state == LinkState::connecting && m_queuedMessages.size() < maxQueuedMessages ) {
+        m_queuedMessages.push_back( message );
     }
 }
 
@@ -152,19 +152,19 @@
 }
 
 bool SidecarLink::answers( MonoTime now ) const {
-    return up() && now - m_channel->lastHeard() <= askSilence;
+    return up() && now - m_channel->lastHeard() <= requestSilenceLimit;
 }
 
-net::Task<std::optional<Message>> SidecarLink::askFor( std::uint64_t number, Message question,
-                                                       MonoTime until ) {
-    const auto me = shared_from_this();
+net::Task<std::optional<Message>> SidecarLink::sendAndWait( std::uint64_t number, Message message,
+                                                            MonoTime until ) {
+    const auto self = shared_from_this();
     const auto waiter = std::make_shared<Waiter>( m_context );
     m_waiters.emplace( number, waiter );
-    m_usedAt = MonoClock::now();
-    transmit( question );
+    m_lastUse = MonoClock::now();
+    transmit( message );
     auto now = MonoClock::now();
     while( !waiter->ended && now < until && answers( now ) ) {
-        waiter->timer.expires_after( std::min( silenceLook, remaining( now, until ) ) );
+        waiter->timer.expires_after( std::min( silenceCheckInterval, remaining( now, until ) ) );
         co_await waiter->timer.async_wait( net::tupled );
         now = MonoClock::now();
     }
@@ -174,15 +174,15 @@
 
 net::Task<EnsureAnswer> SidecarLink::ensure( EnsureRequest request ) {
     EnsureAnswer out;
-    const auto until = MonoClock::now() + Millis( request.limitMs ) + answerDelay;
+    const auto until = MonoClock::now() + Millis( request.limitMs ) + answerSlack;
     const bool reached = co_await opened( Millis( request.limitMs ) );
     if( !reached ) {
         co_return out;
     }
     const auto number = m_nextNumber++;
     request.number = number;
-    Message question( std::move( request ) );
-    const auto answer = co_await askFor( number, std::move( question ), until );
+    Message message( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( message ), until );
     if( !answer ) {
         cancel( number );
         out.number = number;
@@ -191,31 +191,31 @@
     co_return std::get<EnsureAnswer>( *answer );
 }
 
-template <typename Answer, typename Ask>
-net::Task<std::optional<Answer>> SidecarLink::askAs( Ask ask, Millis limit ) {
+template <typename Answer, typename Request>
+net::Task<std::optional<Answer>> SidecarLink::requestAs( Request request, Millis limit ) {
     const auto until = MonoClock::now() + limit;
     const bool reached = co_await opened( limit );
     if( !reached ) {
         co_return std::nullopt;
     }
     const auto number = m_nextNumber++;
-    ask.number = number;
-    Message question( std::move( ask ) );
-    const auto answer = co_await askFor( number, std::move( question ), until );
+    request.number = number;
+    Message message( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( message ), until );
     if( !answer ) {
         co_return std::nullopt;
     }
     co_return std::get<Answer>( *answer );
 }
 
-net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::askQuota( decide::QuotaAsk ask,
+net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::askQuota( decide::QuotaAsk request,
                                                                      Millis limit ) {
-    return askAs<decide::QuotaAnswer>( std::move( ask ), limit );
+    return requestAs<decide::QuotaAnswer>( std::move( request ), limit );
 }
 
-net::Task<std::optional<decide::LimitAnswer>> SidecarLink::askLimit( decide::LimitAsk ask,
+net::Task<std::optional<decide::LimitAnswer>> SidecarLink::askLimit( decide::LimitAsk request,
                                                                      Millis limit ) {
-    return askAs<decide::LimitAnswer>( std::move( ask ), limit );
+    return requestAs<decide::LimitAnswer>( std::move( request ), limit );
 }
 
 void SidecarLink::cancel( std::uint64_t number ) {
@@ -232,7 +232,7 @@
     }
 }
 
-void SidecarLink::takeAnswer( std::uint64_t number, Message answer ) {
+void SidecarLink::completeWaiter( std::uint64_t number, Message answer ) {
     const auto it = m_waiters.find( number );
     if( it != m_waiters.end() ) {
         it->second->answer = std::move( answer );
@@ -247,9 +247,9 @@
         log::warn( "sidecar_message_malformed", { { "ip", m_ip } } );
         return;
     }
-    m_traffic.note( Direction::in, kindOf( *message ), frame.size() );
-    if( !m_heard ) {
-        m_heard = true;
+    m_traffic.countMessage( Direction::in, kindOf( *message ), frame.size() );
+    if( !m_messageReceived ) {
+        m_messageReceived = true;
         wakeOpening();
     }
     const auto* report = std::get_if<SidecarReport>( &*message );
@@ -274,31 +274,31 @@
     if( limits != nullptr && m_handlers.limits ) {
         m_handlers.limits( *limits );
     }
-    const bool asksSpec = std::holds_alternative<SpecAsk>( *message );
-    if( asksSpec && m_spec ) {
+    const bool specRequested = std::holds_alternative<SpecAsk>( *message );
+    if( specRequested && m_spec ) {
         transmit( "spec", m_spec->message );
     }
     if( const auto* answer = std::get_if<EnsureAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
     if( const auto* answer = std::get_if<decide::QuotaAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
     if( const auto* answer = std::get_if<decide::LimitAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
 }
 
 net::Task<> SidecarLink::serveConnection( net::Socket socket ) {
-    net::tune( socket, silence );
+    net::tune( socket, silenceLimit );
     log::info( "sidecar_connected", { { "ip", m_ip } } );
     m_channel =
         std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::client );
-    m_heard = false;
+    m_messageReceived = false;
     m_upAt = MonoClock::now();
     setState( LinkState::up );
-    if( !m_news.empty() ) {
-        transmit( "engine_news", m_news );
+    if( !m_engineUpdate.empty() ) {
+        transmit( "engine_news", m_engineUpdate );
     }
     if( m_handlers.connected ) {
         m_handlers.connected();
@@ -306,7 +306,7 @@
     if( m_relayWanted ) {
         askRelay( true );
     }
-    for( const auto& it : std::exchange( m_queued, {} ) ) {
+    for( const auto& it : std::exchange( m_queuedMessages, {} ) ) {
         transmit( it );
     }
     net::FrameChannel::FrameHandler handler = [this]( std::string_view frame ) {
@@ -318,26 +318,26 @@
 }
 
 net::Task<> SidecarLink::keepConnected() {
-    const auto me = shared_from_this();
-    Millis delay = retryPause;
+    const auto self = shared_from_this();
+    Millis delay = firstRetryDelay;
     while( m_state != LinkState::closed ) {
         net::Socket socket( m_context );
         net::ErrorCode ec;
         const auto to = net::endpointOf( m_ip, m_port, ec );
         ec = co_await net::connect( socket, to, connectLimit );
         if( !ec && m_state != LinkState::closed ) {
-            delay = retryPause;
+            delay = firstRetryDelay;
             co_await serveConnection( std::move( socket ) );
             log::info( m_state == LinkState::up ? "sidecar_lost" : "sidecar_left",
                        { { "ip", m_ip } } );
         }
         // The link was closed and opened again meanwhile: reconnect at once, without a delay.
-        const bool anew = !ec && m_state == LinkState::connecting;
-        if( m_state != LinkState::closed && !anew ) {
+        const bool reopened = !ec && m_state == LinkState::connecting;
+        if( m_state != LinkState::closed && !reopened ) {
             setState( LinkState::failing );
-            m_queued.clear();
+            m_queuedMessages.clear();
             co_await net::pause( m_context, delay );
-            delay = std::min( delay * 2, lastRetryPause );
+            delay = std::min( delay * 2, maxRetryDelay );
         }
     }
     m_running = false;
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -59,7 +59,7 @@
     //! True when no request is pending, no relay is requested, and the link has not been used since
     //! `since`.
     bool unusedSince( MonoTime since ) const {
-        return m_waiters.empty() && m_opening.empty() && !m_relayWanted && m_usedAt < since;
+        return m_waiters.empty() && m_openingTimers.empty() && !m_relayWanted && m_lastUse < since;
     }
     //! True while it is not yet known whether the sidecar can be reached.
     bool untried( MonoTime now ) const;
@@ -78,10 +78,12 @@
     //! when the sidecar falls silent. The result's `number` is that of the request, for cancel().
     net::Task<EnsureAnswer> ensure( EnsureRequest request );
     //! Requests units of an organisation's quota; nullopt when no answer came within `limit`.
-    net::Task<std::optional<decide::QuotaAnswer>> askQuota( decide::QuotaAsk ask, Millis limit );
+    net::Task<std::optional<decide::QuotaAnswer>> askQuota( decide::QuotaAsk request,
+                                                            Millis limit );
     //! Requests an admission permit for an upstream with a rate limit; nullopt when no answer came
     //! within `limit`.
-    net::Task<std::optional<decide::LimitAnswer>> askLimit( decide::LimitAsk ask, Millis limit );
+    net::Task<std::optional<decide::LimitAnswer>> askLimit( decide::LimitAsk request,
+                                                            Millis limit );
     //! Sends a message, and opens the connection if needed. The message is dropped when the sidecar
     //! can't be reached.
     void send( const Message& message );
@@ -100,12 +102,12 @@
 
     //! Sends a request and waits for its answer until `until`; stops waiting when the sidecar falls
     //! silent.
-    net::Task<std::optional<Message>> askFor( std::uint64_t number, Message question,
-                                              MonoTime until );
+    net::Task<std::optional<Message>> sendAndWait( std::uint64_t number, Message message,
+                                                   MonoTime until );
     //! Opens the connection, numbers the request, sends it and waits for an answer of type Answer.
-    template <typename Answer, typename Ask>
-    net::Task<std::optional<Answer>> askAs( Ask ask, Millis limit );
-    void takeAnswer( std::uint64_t number, Message answer );
+    template <typename Answer, typename Request>
+    net::Task<std::optional<Answer>> requestAs( Request request, Millis limit );
+    void completeWaiter( std::uint64_t number, Message answer );
     net::Task<> keepConnected();
     net::Task<> serveConnection( net::Socket socket );
     //! Sends on the connection, which has to be up.
@@ -121,16 +123,16 @@
     Handlers m_handlers;
     LinkTraffic m_traffic;
     LinkState m_state = LinkState::closed;
-    std::set<net::Timer*> m_opening; //!< timers of pending opened() calls
+    std::set<net::Timer*> m_openingTimers; //!< timers of pending opened() calls
     std::shared_ptr<net::FrameChannel> m_channel;
-    bool m_heard = false;   //!< a message was received since the connection came up
-    bool m_running = false; //!< keepConnected() has not ended
+    bool m_messageReceived = false; //!< a message was received since the connection came up
+    bool m_running = false;         //!< keepConnected() has not ended
     bool m_relayWanted = false;
     bool m_stopped = false;
-    MonoTime m_usedAt; //!< last request or message sent
+    MonoTime m_lastUse; //!< last request or message sent
     MonoTime m_upAt;
-    std::vector<Message> m_queued; //!< messages waiting for the connection to come up
-    std::string m_news;            //!< encoded message that names the engine
+    std::vector<Message> m_queuedMessages; //!< messages waiting for the connection to come up
+    std::string m_engineUpdate;            //!< encoded message that names the engine
     SpecTextPtr m_spec;
     std::uint64_t m_nextNumber = 1;
     std::map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters;
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -12,11 +12,11 @@
 //! Pause between watch calls on upstreams, as a fraction of the drain bound, the time within which
 //! a gateway must stop sending to a leaving upstream. Entries of upstreams change all the time and
 //! each watch call costs money, so changes are received in batches.
-constexpr double batchPart = 0.4;
+constexpr double batchPauseFraction = 0.4;
 //! After the store is restored from a copy, its operators write again within seconds what the copy
 //! lacks. Until then a hall under evacuation stays evacuated; otherwise requests (8 of 24 in one
 //! case) would be sent there.
-constexpr Millis rewriteTime{ 10000 };
+constexpr Millis rewriteAfterRestore{ 10000 };
 
 FollowSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
                                metrics::Metrics& metrics ) {
@@ -30,7 +30,7 @@
 FollowSettings upstreamSettings( const platform::NodeSettings& settings,
                                  metrics::Metrics& metrics ) {
     auto out = followSettings( settings, platform::upstreamKind, metrics );
-    out.pause = partOf( settings.bounds.drain, batchPart );
+    out.pause = fractionOf( settings.bounds.drain, batchPauseFraction );
     return out;
 }
 
@@ -56,21 +56,21 @@
 
 void StoreFeed::start() {
     m_fleet.onStoreNews( [this]( const std::string& upstreamId, const StoreNews& news ) {
-        takeNews( upstreamId, news );
+        applyUpdate( upstreamId, news );
     } );
-    net::start( m_context, begin(), "store feed" );
+    net::start( m_context, startFollowing(), "store feed" );
 }
 
 FollowHandlers StoreFeed::configurationHandlers() {
     FollowHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
-            takeObject( it );
+            applyConfiguration( it );
         }
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         if( !event.removed ) {
-            takeObject( event.object );
+            applyConfiguration( event.object );
         }
     };
     out.reachable = []( bool ) {
@@ -78,7 +78,7 @@
     return out;
 }
 
-void StoreFeed::takeObject( const platform::StoreObject& object ) const {
+void StoreFeed::applyConfiguration( const platform::StoreObject& object ) const {
     if( object.name == platform::configurationName ) {
         m_handlers.configuration( object.spec );
     }
@@ -88,12 +88,12 @@
     FollowHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
-            takeQuarantine( it );
+            applyQuarantine( it );
         }
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         if( !event.removed ) {
-            takeQuarantine( event.object );
+            applyQuarantine( event.object );
         }
     };
     out.reachable = []( bool ) {
@@ -108,37 +108,37 @@
         for( const auto& it : objects ) {
             halls.insert( it.name );
         }
-        takeEvacuations( std::move( halls ), MonoClock::now() );
+        applyEvacuations( std::move( halls ), MonoClock::now() );
     };
     out.event = [this]( const platform::StoreEvent& event ) {
-        takeEvacuation( event.object.name, !event.removed );
+        applyEvacuation( event.object.name, !event.removed );
     };
     out.reachable = []( bool ) {
     };
     out.restored = [this] {
-        m_heldHalls.insert( m_emptied.begin(), m_emptied.end() );
-        m_heldUntil = MonoClock::now() + rewriteTime;
+        m_heldHalls.insert( m_evacuatedHalls.begin(), m_evacuatedHalls.end() );
+        m_heldUntil = MonoClock::now() + rewriteAfterRestore;
     };
     return out;
 }
 
-void StoreFeed::takeEvacuations( std::set<std::string> halls, MonoTime now ) {
-    m_emptied = std::move( halls );
+void StoreFeed::applyEvacuations( std::set<std::string> halls, MonoTime now ) {
+    m_evacuatedHalls = std::move( halls );
     if( now >= m_heldUntil ) {
         m_heldHalls.clear();
     }
     auto all = m_heldHalls;
-    all.insert( m_emptied.begin(), m_emptied.end() );
+    all.insert( m_evacuatedHalls.begin(), m_evacuatedHalls.end() );
     m_handlers.evacuations( all );
 }
 
-void StoreFeed::takeEvacuation( const std::string& hall, bool emptied ) {
+void StoreFeed::applyEvacuation( const std::string& hall, bool emptied ) {
     // The evacuation was written again, or ended, after the restore.
     m_heldHalls.erase( hall );
     if( emptied ) {
-        m_emptied.insert( hall );
+        m_evacuatedHalls.insert( hall );
     } else {
-        m_emptied.erase( hall );
+        m_evacuatedHalls.erase( hall );
     }
     m_handlers.evacuation( hall, emptied );
 }
@@ -149,23 +149,23 @@
     }
     log::info( "evacuations_not_written_again",
                { { "halls", static_cast<std::int64_t>( m_heldHalls.size() ) } } );
-    takeEvacuations( m_emptied, now );
+    applyEvacuations( m_evacuatedHalls, now );
 }
 
-void StoreFeed::takeEvacuations( const StoreNews& news ) {
+void StoreFeed::applyEvacuations( const StoreNews& news ) {
     if( news.whole ) {
-        takeEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
+        applyEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
         return;
     }
     for( const auto& it : news.emptied ) {
-        takeEvacuation( it, true );
+        applyEvacuation( it, true );
     }
     for( const auto& it : news.gone ) {
-        takeEvacuation( it, false );
+        applyEvacuation( it, false );
     }
 }
 
-void StoreFeed::takeQuarantine( const platform::StoreObject& object ) {
+void StoreFeed::applyQuarantine( const platform::StoreObject& object ) {
     const auto quarantine = m_reader.quarantine( object );
     if( quarantine && quarantine->holdMs > 0 ) {
         m_handlers.quarantines( std::span( &*quarantine, 1 ) );
@@ -181,7 +181,7 @@
                 upstreams.push_back( std::move( *upstream ) );
             }
         }
-        takeListing( std::move( upstreams ) );
+        applyUpstreamListing( std::move( upstreams ) );
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         const auto now = MonoClock::now();
@@ -203,27 +203,27 @@
     return out;
 }
 
-void StoreFeed::takeListing( std::vector<Upstream> upstreams ) {
-    m_listed = true;
+void StoreFeed::applyUpstreamListing( std::vector<Upstream> upstreams ) {
+    m_upstreamsListed = true;
     m_registry.list( std::move( upstreams ), MonoClock::now() );
     m_handlers.upstreams();
 }
 
-void StoreFeed::takeNews( const std::string& upstreamId, const StoreNews& news ) {
+void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreNews& news ) {
     if( upstreamId != m_relay ) {
         return;
     }
     const auto now = MonoClock::now();
     if( !news.reachable ) {
-        leaveRelay( "without the store", Millis{ 0 }, now );
+        dropRelay( "without the store", Millis{ 0 }, now );
         return;
     }
     if( news.whole ) {
-        m_relayed.insert( news.part );
+        m_receivedParts.insert( news.part );
     }
     if( news.part == StorePart::upstreams ) {
-        m_relayHeard = now;
-        takeUpstreams( news );
+        m_lastRelayMessage = now;
+        applyUpstreams( news );
         return;
     }
     // A live relay reports a store that doesn't answer, and its silence shows in the messages on
@@ -237,7 +237,7 @@
     }
     if( news.part == StorePart::evacuations ) {
         if( m_evacuations.relayed( news.position, news.whole, until ) ) {
-            takeEvacuations( news );
+            applyEvacuations( news );
         }
         return;
     }
@@ -247,11 +247,11 @@
     }
 }
 
-void StoreFeed::takeUpstreams( const StoreNews& news ) {
-    if( !news.whole && !m_gotWhole ) {
+void StoreFeed::applyUpstreams( const StoreNews& news ) {
+    if( !news.whole && !m_upstreamsReceived ) {
         return;
     }
-    m_gotWhole = true;
+    m_upstreamsReceived = true;
     const auto now = MonoClock::now();
     const auto until = now + relaySilence( m_settings.bounds );
     // Changes that are dropped because this gateway knows them already leave no gap: later changes
@@ -260,7 +260,7 @@
         return;
     }
     if( news.whole ) {
-        takeListing( news.upstreams );
+        applyUpstreamListing( news.upstreams );
         return;
     }
     for( const auto& it : news.upstreams ) {
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -45,7 +45,7 @@
     void start();
     //! Periodic work: checks the relay and replaces it if needed.
     void tick( MonoTime now );
-    bool upstreamsListed() const noexcept { return m_listed; }
+    bool upstreamsListed() const noexcept { return m_upstreamsListed; }
     //! True while the gateway receives changes of the configuration.
     bool configurationCurrent() const noexcept {
         return !m_relay.empty() || m_configuration.reachable();
@@ -56,30 +56,31 @@
     FollowHandlers upstreamHandlers();
     FollowHandlers quarantineHandlers();
     FollowHandlers evacuationHandlers();
-    void takeEvacuations( const StoreNews& news );
-    void takeEvacuations( std::set<std::string> halls, MonoTime now );
-    void takeEvacuation( const std::string& hall, bool emptied );
+    void applyEvacuations( const StoreNews& news );
+    void applyEvacuations( std::set<std::string> halls, MonoTime now );
+    void applyEvacuation( const std::string& hall, bool emptied );
     //! Ends the evacuation of halls that only the store's history before its restore names, once
     //! they have not been written again in time.
     void expireHeldHalls( MonoTime now );
-    void takeQuarantine( const platform::StoreObject& object );
-    void takeObject( const platform::StoreObject& object ) const;
-    void takeListing( std::vector<Upstream> upstreams );
-    void takeNews( const std::string& upstreamId, const StoreNews& news );
-    void takeUpstreams( const StoreNews& news );
+    void applyQuarantine( const platform::StoreObject& object );
+    void applyConfiguration( const platform::StoreObject& object ) const;
+    void applyUpstreamListing( std::vector<Upstream> upstreams );
+    void applyUpdate( const std::string& upstreamId, const StoreNews& news );
+    void applyUpstreams( const StoreNews& news );
     //! Finds a relay at start, before the gateway knows any upstream, and starts the followers.
-    net::Task<> begin();
+    net::Task<> startFollowing();
     //! Upstreams whose sidecars can relay, from a list that may be some seconds old.
-    net::Task<std::vector<Upstream>> findRelays();
-    std::vector<Upstream> enginesOf( std::span<const platform::StoreObject> objects );
+    net::Task<std::vector<Upstream>> findRelayUpstreams();
+    std::vector<Upstream> engineUpstreams( std::span<const platform::StoreObject> objects );
     //! Subscribes to the sidecar of an upstream; true when it has delivered all parts of the store.
     net::Task<bool> tryRelay( const Upstream& upstream );
-    //! `patience`: time for another relay to deliver before this gateway calls the store itself.
-    void leaveRelay( std::string_view why, Millis patience, MonoTime now );
-    void seekRelay( MonoTime now );
+    //! `replacementTime`: time for another relay to deliver before this gateway calls the store
+    //! itself.
+    void dropRelay( std::string_view why, Millis replacementTime, MonoTime now );
+    void updateRelay( MonoTime now );
     //! Receives the store's changes from this sidecar from now on.
     void useRelay( const std::string& upstreamId, std::shared_ptr<SidecarLink> link, MonoTime now );
-    bool knowsAll() const;
+    bool allPartsReceived() const;
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
@@ -91,19 +92,19 @@
     Follower m_upstreams;
     Follower m_quarantines;
     Follower m_evacuations;
-    bool m_listed = false;
+    bool m_upstreamsListed = false;
     platform::StoreClient m_store;
-    bool m_begun = false; //!< the followers are running
-    std::string m_relay;  //!< upstream id of the relay; empty: none
+    bool m_followersStarted = false; //!< the followers are running
+    std::string m_relay;             //!< upstream id of the relay; empty: none
     std::shared_ptr<SidecarLink> m_relayLink;
-    int m_relayGateways = 1;           //!< number of gateways at the choice of the relay
-    std::set<StorePart> m_relayed;     //!< parts of which the relay has sent a snapshot
-    MonoTime m_relayHeard;             //!< last message on upstreams from the relay
-    MonoTime m_relayChecked;           //!< when the choice of the relay was last checked
-    std::set<std::string> m_emptied;   //!< halls under evacuation in the store
-    std::set<std::string> m_heldHalls; //!< halls under evacuation before the store's restore
+    int m_relayGateways = 1;                //!< number of gateways at the choice of the relay
+    std::set<StorePart> m_receivedParts;    //!< parts of which the relay has sent a snapshot
+    MonoTime m_lastRelayMessage;            //!< last message on upstreams from the relay
+    MonoTime m_relayCheckedAt;              //!< when the choice of the relay was last checked
+    std::set<std::string> m_evacuatedHalls; //!< halls under evacuation in the store
+    std::set<std::string> m_heldHalls;      //!< halls under evacuation before the store's restore
     MonoTime m_heldUntil;
-    bool m_gotWhole = false;                   //!< a snapshot of the upstreams came from this relay
+    bool m_upstreamsReceived = false;          //!< a snapshot of the upstreams came from this relay
     std::map<std::string, MonoTime> m_avoided; //!< former relays, with the end of their avoidance
 };
 
--- a/src/gateway/store_feed_relay.cpp
+++ b/src/gateway/store_feed_relay.cpp
@@ -13,35 +13,35 @@
 namespace {
 
 //! A relay that failed is not chosen again for this long.
-constexpr Millis relayAvoided{ 3000 };
+constexpr Millis relayAvoidance{ 3000 };
 //! Interval at which a gateway checks whether another relay is the right one for it now.
-constexpr Millis relayRecheck{ 3000 };
+constexpr Millis relayCheckInterval{ 3000 };
 //! A relay whose connection is lost was alive a moment ago, so there is time for another one to
 //! take its place; after this time the gateway calls the store itself.
-constexpr Millis relayChange{ 400 };
+constexpr Millis relayReplacementTime{ 400 };
 //! The relay is chosen for a new number of gateways when that is more than this many times larger
 //! or smaller than at the last choice.
-constexpr int gatewaysChange = 2;
+constexpr int gatewayCountFactor = 2;
 //! At start: number of relays that are tried in turn, the time that each has to deliver everything
 //! (a sidecar that is not a relay yet lists the store first), and the time for all attempts, which
 //! are repeated because after an outage of everything the sidecars are starting too.
-constexpr int firstTries = 3;
-constexpr Millis firstNews{ 700 };
-constexpr Millis firstRelayLimit{ 1500 };
-constexpr Millis tryAgain{ 100 };
+constexpr int startupRelayTries = 3;
+constexpr Millis startupRelayLimit{ 700 };
+constexpr Millis startupRelaysLimit{ 1500 };
+constexpr Millis startupRetryPause{ 100 };
 //! At start, longest wait for a list with upstreams; after it the gateway calls the store itself.
-constexpr Millis listedLimit{ 3000 };
-constexpr Millis listAgain{ 200 };
+constexpr Millis startupListLimit{ 3000 };
+constexpr Millis listRetryPause{ 200 };
 //! The same at the deployment's first start, where entries are written over some seconds.
-constexpr Millis firstListedLimit{ 6000 };
-constexpr Millis firstListAgain{ 1000 };
-constexpr Millis firstLook{ 10 };
-constexpr Millis listLimit{ 1000 };
+constexpr Millis firstStartListLimit{ 6000 };
+constexpr Millis firstStartListRetryPause{ 1000 };
+constexpr Millis relayPollInterval{ 10 };
+constexpr Millis listCallLimit{ 1000 };
 
 } // namespace
 
-net::Task<> StoreFeed::begin() {
-    auto upstreams = co_await findRelays();
+net::Task<> StoreFeed::startFollowing() {
+    auto upstreams = co_await findRelayUpstreams();
     std::vector<RelayCandidate> candidates;
     candidates.reserve( upstreams.size() );
     for( const auto& it : upstreams ) {
@@ -49,18 +49,18 @@
     }
     // The number of gateways is not known yet; it is about the number of upstreams.
     const auto gateways = static_cast<int>( candidates.size() );
-    const auto until = MonoClock::now() + firstRelayLimit;
+    const auto until = MonoClock::now() + startupRelaysLimit;
     m_relayGateways = std::max( gateways, 1 );
     bool relayed = candidates.empty();
     int tries = 0;
     while( !relayed && MonoClock::now() < until ) {
         const auto best = chooseRelay( candidates, m_settings.vm, gateways );
-        if( !best || tries == firstTries ) {
+        if( !best || tries == startupRelayTries ) {
             tries = 0;
             for( auto& it : candidates ) {
                 it.avoided = false;
             }
-            co_await net::pause( m_context, tryAgain );
+            co_await net::pause( m_context, startupRetryPause );
             continue;
         }
         ++tries;
@@ -69,22 +69,22 @@
     }
     log::info( "store_feed_begins",
                { { "relay", m_relay }, { "upstreams", static_cast<std::int64_t>( gateways ) } } );
-    m_begun = true;
+    m_followersStarted = true;
     net::start( m_context, m_configuration.run(), "configuration" );
     net::start( m_context, m_upstreams.run(), "upstreams" );
     net::start( m_context, m_quarantines.run(), "quarantines" );
     net::start( m_context, m_evacuations.run(), "evacuations" );
 }
 
-net::Task<std::vector<Upstream>> StoreFeed::findRelays() {
+net::Task<std::vector<Upstream>> StoreFeed::findRelayUpstreams() {
     const bool first = m_settings.firstStart;
-    const auto until = MonoClock::now() + ( first ? firstListedLimit : listedLimit );
+    const auto until = MonoClock::now() + ( first ? firstStartListLimit : startupListLimit );
     std::vector<Upstream> out;
     std::size_t before = 0;
     while( MonoClock::now() < until ) {
-        const auto page = co_await m_store.firstPage( platform::upstreamKind, listLimit,
+        const auto page = co_await m_store.firstPage( platform::upstreamKind, listCallLimit,
                                                       platform::ListAge::secondsOld );
-        out = enginesOf( page.objects );
+        out = engineUpstreams( page.objects );
         // At the deployment's first start entries are still being written: a choice among the first
         // of them would be changed again and again, so the list has to stop growing first.
         const bool settled = !first || ( !out.empty() && out.size() == before );
@@ -93,12 +93,12 @@
             break;
         }
         before = out.size();
-        co_await net::pause( m_context, first ? firstListAgain : listAgain );
+        co_await net::pause( m_context, first ? firstStartListRetryPause : listRetryPause );
     }
     co_return out;
 }
 
-std::vector<Upstream> StoreFeed::enginesOf( std::span<const platform::StoreObject> objects ) {
+std::vector<Upstream> StoreFeed::engineUpstreams( std::span<const platform::StoreObject> objects ) {
     std::vector<Upstream> out;
     for( const auto& it : objects ) {
         auto upstream = m_reader.upstream( it );
@@ -110,43 +110,43 @@
     return out;
 }
 
-bool StoreFeed::knowsAll() const {
+bool StoreFeed::allPartsReceived() const {
     constexpr std::size_t parts = 4;
-    return m_relayed.size() == parts;
+    return m_receivedParts.size() == parts;
 }
 
 net::Task<bool> StoreFeed::tryRelay( const Upstream& upstream ) {
-    const auto began = MonoClock::now();
-    const auto until = began + firstNews;
+    const auto startedAt = MonoClock::now();
+    const auto until = startedAt + startupRelayLimit;
     auto link = std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.firstPort );
     SidecarLink::Handlers handlers;
     handlers.news = [this, id = upstream.id]( const StoreNews& news ) {
-        takeNews( id, news );
+        applyUpdate( id, news );
     };
     link->setHandlers( std::move( handlers ) );
     m_fleet.adopt( link );
-    useRelay( upstream.id, link, began );
-    while( !knowsAll() && m_relay == upstream.id && MonoClock::now() < until &&
+    useRelay( upstream.id, link, startedAt );
+    while( !allPartsReceived() && m_relay == upstream.id && MonoClock::now() < until &&
            link->state() != LinkState::failing ) {
-        co_await net::pause( m_context, firstLook );
+        co_await net::pause( m_context, relayPollInterval );
     }
-    if( knowsAll() ) {
+    if( allPartsReceived() ) {
         co_return true;
     }
     if( m_relay == upstream.id ) {
-        leaveRelay( "not there yet", Millis{ 0 }, MonoClock::now() );
+        dropRelay( "not there yet", Millis{ 0 }, MonoClock::now() );
     }
     m_fleet.adopt( nullptr );
     co_return false;
 }
 
-void StoreFeed::leaveRelay( std::string_view why, Millis patience, MonoTime now ) {
+void StoreFeed::dropRelay( std::string_view why, Millis replacementTime, MonoTime now ) {
     log::info( "relay_lost", { { "upstream", m_relay }, { "why", why } } );
     m_relayLink->askRelay( false );
     m_relayLink.reset();
-    m_avoided[m_relay] = now + relayAvoided;
+    m_avoided[m_relay] = now + relayAvoidance;
     m_relay.clear();
-    const auto from = now + patience;
+    const auto from = now + replacementTime;
     m_upstreams.relayLost( from );
     m_configuration.relayLost( from );
     m_quarantines.relayLost( from );
@@ -160,15 +160,15 @@
     }
     m_relay = upstreamId;
     m_relayLink = std::move( link );
-    m_relayHeard = now;
-    m_gotWhole = false;
-    m_relayed.clear();
+    m_lastRelayMessage = now;
+    m_upstreamsReceived = false;
+    m_receivedParts.clear();
     log::info( "relay_chosen", { { "upstream", m_relay } } );
     m_relayLink->askRelay( true );
     m_relayLink->open();
 }
 
-void StoreFeed::seekRelay( MonoTime now ) {
+void StoreFeed::updateRelay( MonoTime now ) {
     std::vector<RelayCandidate> candidates;
     std::vector<NodePtr> nodes;
     for( const auto& [id, node] : m_fleet.nodes() ) {
@@ -181,9 +181,9 @@
     }
     std::erase_if( m_avoided, [now]( const auto& it ) { return it.second <= now; } );
     const int gateways = m_fleet.gateways();
-    const bool others =
-        gateways > gatewaysChange * m_relayGateways || gatewaysChange * gateways < m_relayGateways;
-    m_relayGateways = others ? gateways : m_relayGateways;
+    const bool gatewayCountChanged = gateways > gatewayCountFactor * m_relayGateways ||
+                                     gatewayCountFactor * gateways < m_relayGateways;
+    m_relayGateways = gatewayCountChanged ? gateways : m_relayGateways;
     const auto best = chooseRelay( candidates, m_settings.vm, m_relayGateways );
     if( best && candidates[*best].upstreamId != m_relay ) {
         useRelay( nodes[*best]->upstream.id, nodes[*best]->sidecar, now );
@@ -192,20 +192,20 @@
 
 void StoreFeed::tick( MonoTime now ) {
     expireHeldHalls( now );
-    if( !m_begun ) {
+    if( !m_followersStarted ) {
         return;
     }
     if( m_relayLink ) {
         const auto state = m_relayLink->state();
         if( state == LinkState::failing || state == LinkState::closed ) {
-            leaveRelay( "connection lost", relayChange, now );
-        } else if( now - m_relayHeard > relaySilence( m_settings.bounds ) ) {
-            leaveRelay( "silent", Millis{ 0 }, now );
+            dropRelay( "connection lost", relayReplacementTime, now );
+        } else if( now - m_lastRelayMessage > relaySilence( m_settings.bounds ) ) {
+            dropRelay( "silent", Millis{ 0 }, now );
         }
     }
-    if( m_relay.empty() || now - m_relayChecked >= relayRecheck ) {
-        m_relayChecked = now;
-        seekRelay( now );
+    if( m_relay.empty() || now - m_relayCheckedAt >= relayCheckInterval ) {
+        m_relayCheckedAt = now;
+        updateRelay( now );
     }
 }
 
--- a/src/gateway/store_objects.cpp
+++ b/src/gateway/store_objects.cpp
@@ -9,34 +9,34 @@
 
 //! Largest number of unreadable objects remembered. Beyond it all are forgotten, so some are logged
 //! again.
-constexpr std::size_t mostUnreadable = 8192;
+constexpr std::size_t maxUnreadable = 8192;
 //! Largest length of a problem in the log, because it quotes the invalid value, which may be a
 //! megabyte long.
-constexpr std::size_t mostDetail = 200;
+constexpr std::size_t maxDetailLength = 200;
 
 } // namespace
 
-void ObjectReader::noteUnreadable( const platform::StoreObject& object, std::string_view what,
-                                   const std::string& problem ) {
-    const auto it = m_unreadable.find( object.name );
-    if( it != m_unreadable.end() && it->second == object.revision ) {
+void ObjectReader::logUnreadable( const platform::StoreObject& object, std::string_view what,
+                                  const std::string& problem ) {
+    const auto it = m_loggedRevisions.find( object.name );
+    if( it != m_loggedRevisions.end() && it->second == object.revision ) {
         return;
     }
-    if( m_unreadable.size() >= mostUnreadable ) {
-        m_unreadable.clear();
+    if( m_loggedRevisions.size() >= maxUnreadable ) {
+        m_loggedRevisions.clear();
     }
-    m_unreadable[object.name] = object.revision;
+    m_loggedRevisions[object.name] = object.revision;
     log::error( "object_unreadable", { { "kind", what },
                                        { "name", object.name },
                                        { "revision", static_cast<std::int64_t>( object.revision ) },
-                                       { "detail", problem.substr( 0, mostDetail ) } } );
+                                       { "detail", problem.substr( 0, maxDetailLength ) } } );
 }
 
 std::optional<Upstream> ObjectReader::upstream( const platform::StoreObject& object ) {
     std::string problem;
     auto out = platform::readUpstream( object.name, object.spec, problem );
     if( !out ) {
-        noteUnreadable( object, "upstream", problem );
+        logUnreadable( object, "upstream", problem );
         return std::nullopt;
     }
     out->created = { object.era, object.created };
@@ -47,7 +47,7 @@
     std::string problem;
     const auto out = platform::readQuarantine( object, systemClock().wall(), problem );
     if( !out ) {
-        noteUnreadable( object, "quarantine", problem );
+        logUnreadable( object, "quarantine", problem );
     }
     return out;
 }
--- a/src/gateway/store_objects.hpp
+++ b/src/gateway/store_objects.hpp
@@ -20,10 +20,10 @@
     std::optional<decide::Quarantine> quarantine( const platform::StoreObject& object );
 
 private:
-    void noteUnreadable( const platform::StoreObject& object, std::string_view what,
-                         const std::string& problem );
+    void logUnreadable( const platform::StoreObject& object, std::string_view what,
+                        const std::string& problem );
 
-    std::map<std::string, std::uint64_t> m_unreadable; //!< logged revisions, by object name
+    std::map<std::string, std::uint64_t> m_loggedRevisions; //!< logged revisions, by object name
 };
 
 } // namespace coursehead::gateway
