--- a/src/gateway/follower.hpp
+++ b/src/gateway/follower.hpp
@@ -12,7 +12,7 @@
 namespace coursehead::gateway {
 
 //! Handlers for what a follower receives. All of them run on the event loop.
-struct FollowHandlers {
+struct FollowerHandlers {
     //! All objects of the kind, at one revision of the store.
     std::function<void( const std::vector<platform::StoreObject>& objects )> listing;
     std::function<void( const platform::StoreEvent& event )> event;
@@ -26,7 +26,7 @@
     std::function<void()> restored;
 };
 
-struct FollowSettings {
+struct FollowerSettings {
     std::string kind;
     Millis wait{ 2000 };                 //!< length of one watch call
     Millis pause{ 0 };                   //!< between watch calls, so that changes arrive in batches
@@ -42,7 +42,7 @@
 class Follower {
 public:
     Follower( net::asio::io_context& context, const platform::Endpoint& store,
-              FollowSettings settings, RandomSource& random, FollowHandlers handlers );
+              FollowerSettings settings, RandomSource& random, FollowerHandlers handlers );
 
     //! Runs until stop().
     net::Task<> run();
@@ -53,7 +53,7 @@
      * or as changes; the follower makes no calls until `until`. Returns false when the delivery has
      * to be dropped, because the follower is ahead of it or the changes belong to another history.
      */
-    bool relayed( decide::StorePosition position, bool complete, MonoTime until );
+    bool acceptRelayed( decide::StorePosition position, bool complete, MonoTime until );
     //! The relay is lost, or has lost the store: the follower calls the store from `from` on,
     //! unless another relay has delivered something by then.
     void relayLost( MonoTime from );
@@ -74,9 +74,9 @@
     Millis retryDelay();
 
     net::asio::io_context& m_context;
-    FollowSettings m_settings;
+    FollowerSettings m_settings;
     RandomSource& m_random;
-    FollowHandlers m_handlers;
+    FollowerHandlers m_handlers;
     platform::StoreClient m_client;
     bool m_stopped = false;
     bool m_listed = false;
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -21,41 +21,41 @@
 
 //! Introduces the gateway to a sidecar and names the engine beside that sidecar. It is the first
 //! message on a connection, and is sent again when any field changes.
-struct EngineNews {
+struct EngineUpdate {
     std::string gateway;
     std::uint64_t configVersion = 0;
     std::string upstreamId;       //!< current start of the engine
-    Born born = 0;                //!< likewise
+    StartTime born = 0;           //!< likewise
     std::int64_t gapTargetMs = 0; //!< longest pause in a stream that is not late; 0: none is set
     EngineSpecKey spec = 0;       //!< key of the engine's description
 };
 
 //! A sidecar's request for the engine description that a gateway has named by its key.
-struct SpecAsk {
+struct SpecRequest {
     EngineSpecKey key = 0;
 };
 
 //! The description of an engine, with every model of its service. It is the same for all engines of
 //! a service, and its size grows with the number of models.
-struct SpecNews {
+struct SpecAnswer {
     EngineSpecKey key = 0;
     EngineSpec engine;
 };
 
 //! Part of a prompt for which a gateway requests admission; parts are in the order of the prompt.
-struct AskedPart {
+struct PendingPromptPart {
     std::uint64_t key = 0; //!< identifies model, adapter and all parts up to and including this one
     std::int64_t tokens = 0;
 };
 
 //! A prompt that a gateway wants to send to an engine.
-struct AskedPrompt {
+struct PendingPrompt {
     std::int64_t tokens = 0; //!< of the whole prompt
     double msPerToken = 0;   //!< prompt reading time of the model, as the gateway measured it
     std::int64_t goalMs =
         0; //!< prompt reading has to start within this time for the answer to be on time
     bool late = false; //!< reading may also start after the goal, within the request's limit
-    std::vector<AskedPart> parts;
+    std::vector<PendingPromptPart> parts;
 };
 
 //! Requests that a model or adapter is made ready, and an admission permit for a prompt after that.
@@ -66,7 +66,7 @@
     std::string adapter;      //!< empty: the model alone
     bool fromStore = false;   //!< the weight store may be used
     std::int64_t limitMs = 0; //!< time after which the gateway stops waiting for the answer
-    AskedPrompt prompt;       //!< without tokens: there is no prompt to send
+    PendingPrompt prompt;     //!< without tokens: there is no prompt to send
     std::int64_t coldMs =
         0;               //!< remaining time for which the engine is cold, as the gateway knows it
     double coldPerS = 0; //!< prompts per second for the engine while it is cold; 0: no limit
@@ -79,10 +79,10 @@
 
 enum class EnsureOutcome {
     ready,
-    noRoom,    //!< every model that could be unloaded for it is in higher demand
-    needStore, //!< only the weight store holds it, and the request may not use the store
-    failed,    //!< the engine did not accept the order, or is unreachable
-    later,     //!< the model is ready, but the engine can't read the prompt in time
+    noCapacity,       //!< every model that could be unloaded for it is in higher demand
+    needsWeightStore, //!< only the weight store holds it, and the request may not use the store
+    failed,           //!< the engine did not accept the order, or is unreachable
+    tooLate,          //!< the model is ready, but the engine can't read the prompt in time
 };
 
 //! Name of the outcome in logs.
@@ -118,7 +118,7 @@
 
 //! A gateway's demand for the models of an engine. Sent at a fixed interval, so that it also shows
 //! the sidecar that the gateway is alive.
-struct DemandNews {
+struct DemandUpdate {
     std::vector<ModelDemand> models;
     std::vector<SentPart> sentParts; //!< parts sent since the last message, in order
     double reading = 0; //!< share of the engine's time spent on reading this gateway's prompts
@@ -127,11 +127,11 @@
 
 //! Load figures of an engine, which change all the time.
 struct EngineLoad {
-    bool ordering = false; //!< an order is in progress
+    bool orderInProgress = false; //!< an order is in progress
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling = 0;
-    bool adapterRoom =
+    bool hasAdapterCapacity =
         true; //!< another adapter could be loaded without waiting for running requests
     int latePausesPercent =
         0; //!< share of the engine's recent streams with a pause above the gap target
@@ -150,11 +150,11 @@
     std::vector<std::string>
         formerUpstreams; //!< earlier starts of the engine, known from its refusals
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters being loaded, as MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< adapters being loaded, as MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
     EngineLoad load;
-    Born born = 0; //!< current start of the engine
+    StartTime born = 0; //!< current start of the engine
 };
 
 //! The load alone, sent at a fixed interval, since most reports differ in nothing else.
@@ -163,7 +163,7 @@
 };
 
 //! Asks a sidecar to start or to stop relaying the store's changes.
-struct RelayAsk {
+struct RelayRequest {
     bool wanted = false;
 };
 
@@ -176,7 +176,7 @@
 };
 
 //! Changes in the store up to a position; a relay sends it after every answer of the store.
-struct StoreNews {
+struct StoreUpdate {
     StorePart part = StorePart::upstreams;
     decide::StorePosition position;
     bool reachable = true; //!< the store answered; if not, only part and position are set
@@ -190,12 +190,12 @@
     std::vector<std::string> emptied;            //!< halls under evacuation
 };
 
-using Message =
-    std::variant<EngineNews, EnsureRequest, EnsureAnswer, DemandNews, SidecarReport, LoadReport,
-                 RelayAsk, StoreNews, EnsureCancel, decide::QuotaNews, decide::QuotaAsk,
-                 decide::QuotaAnswer, decide::QuotaReturn, decide::PoisonEvidence,
-                 decide::PoisonCleared, decide::QuarantineNews, decide::LimitNews, decide::LimitAsk,
-                 decide::LimitAnswer, decide::LimitReturn, SpecAsk, SpecNews>;
+using Message = std::variant<EngineUpdate, EnsureRequest, EnsureAnswer, DemandUpdate, SidecarReport,
+                             LoadReport, RelayRequest, StoreUpdate, EnsureCancel,
+                             decide::QuotaUpdate, decide::QuotaRequest, decide::QuotaAnswer,
+                             decide::QuotaReturn, decide::PoisonEvidence, decide::PoisonCleared,
+                             decide::QuarantineUpdate, decide::LimitUpdate, decide::LimitRequest,
+                             decide::LimitAnswer, decide::LimitReturn, SpecRequest, SpecAnswer>;
 
 //! Name of the message's type in logs and counters.
 std::string_view kindOf( const Message& message );
--- a/src/gateway/registry.cpp
+++ b/src/gateway/registry.cpp
@@ -35,7 +35,7 @@
     return !m_reachable || ( m_storeBackAt && now - *m_storeBackAt < m_settings.missingEntryHold );
 }
 
-void Registry::list( std::vector<Upstream> upstreams, MonoTime now ) {
+void Registry::applyListing( std::vector<Upstream> upstreams, MonoTime now ) {
     std::set<std::string> seen;
     for( auto& it : upstreams ) {
         seen.insert( it.id );
@@ -54,7 +54,7 @@
 
 void Registry::put( Upstream upstream, MonoTime ) {
     const auto known = m_members.find( upstream.id );
-    if( known != m_members.end() && isFormer( upstream.born, known->second.upstream.born ) ) {
+    if( known != m_members.end() && isOlderStart( upstream.born, known->second.upstream.born ) ) {
         return;
     }
     if( hasDeparted( upstream ) ) {
--- a/src/gateway/registry.hpp
+++ b/src/gateway/registry.hpp
@@ -33,7 +33,7 @@
     explicit Registry( Settings settings ) : m_settings( settings ) {}
 
     //! Replaces all entries by the given listing.
-    void list( std::vector<Upstream> upstreams, MonoTime now );
+    void applyListing( std::vector<Upstream> upstreams, MonoTime now );
     void put( Upstream upstream, MonoTime now );
     void remove( const std::string& id, MonoTime now );
     //! Records that the store answers or doesn't.
@@ -60,7 +60,7 @@
     Settings m_settings;
     //! A start of an upstream that was draining when its entry disappeared.
     struct DepartedStart {
-        Born born = 0;
+        StartTime born = 0;
         MonoTime at;
     };
     std::map<std::string, Member> m_members;
--- a/src/gateway/relay_times.hpp
+++ b/src/gateway/relay_times.hpp
@@ -30,20 +30,20 @@
 }
 
 //! Length of a relay's watch call on upstreams; the relay sends a message after each call.
-inline Millis relayWait( const platform::Bounds& bounds ) {
+inline Millis relayWatchWait( const platform::Bounds& bounds ) {
     constexpr double fraction = 0.33;
     return fractionOf( bounds.drain, fraction );
 }
 
 //! Pause between a relay's calls, so that changes arrive in batches.
-inline Millis relayPause( const platform::Bounds& bounds ) {
+inline Millis relayCallPause( const platform::Bounds& bounds ) {
     constexpr double fraction = 0.15;
     return fractionOf( bounds.drain, fraction );
 }
 
 //! Silence after which a gateway drops its relay: one watch call, one pause, and about a sixth of
 //! the drain bound for the network.
-inline Millis relaySilence( const platform::Bounds& bounds ) {
+inline Millis relaySilenceLimit( const platform::Bounds& bounds ) {
     constexpr double fraction = 0.65;
     return fractionOf( bounds.drain, fraction );
 }
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -80,25 +80,25 @@
     close();
 }
 
-bool SidecarLink::mayAnswer( MonoTime now ) const {
-    return up() ? answers( now ) : m_state != LinkState::failing;
+bool SidecarLink::mayBeResponsive( MonoTime now ) const {
+    return up() ? isResponsive( now ) : m_state != LinkState::failing;
 }
 
-bool SidecarLink::untried( MonoTime now ) const {
+bool SidecarLink::reachabilityUnknown( MonoTime now ) const {
     if( up() ) {
         return !m_messageReceived && now - m_upAt < firstMessageLimit;
     }
     return m_state != LinkState::failing;
 }
 
-net::Task<bool> SidecarLink::opened( Millis limit ) {
+net::Task<bool> SidecarLink::waitUntilOpen( Millis limit ) {
     const auto self = shared_from_this();
     auto now = MonoClock::now();
     const auto until = now + limit;
     m_lastUse = now;
     open();
     net::Timer timer( m_context );
-    while( !m_stopped && now < until && untried( now ) ) {
+    while( !m_stopped && now < until && reachabilityUnknown( now ) ) {
         m_openingTimers.insert( &timer );
         timer.expires_at( std::min( until, now + firstMessageLimit ) );
         co_await timer.async_wait( net::tupled );
@@ -108,7 +108,7 @@
     co_return up() && m_messageReceived;
 }
 
-void SidecarLink::setNews( EngineNews news, SpecTextPtr spec ) {
+void SidecarLink::announceEngine( EngineUpdate news, EncodedSpecPtr spec ) {
     m_spec = std::move( spec );
     news.spec = m_spec ? m_spec->key : 0;
     const Message message( std::move( news ) );
@@ -122,11 +122,11 @@
     }
 }
 
-void SidecarLink::send( const DemandNews& demand ) {
+void SidecarLink::send( const DemandUpdate& demand ) {
     if( !up() ) {
         return;
     }
-    if( MonoClock::now() - m_channel->lastHeard() > silenceLimit ) {
+    if( MonoClock::now() - m_channel->lastReceivedAt() > silenceLimit ) {
         log::info( "sidecar_silent", { { "ip", m_ip } } );
         m_channel->close();
         return;
@@ -144,15 +144,15 @@
     }
 }
 
-void SidecarLink::askRelay( bool wanted ) {
+void SidecarLink::requestRelay( bool wanted ) {
     m_relayWanted = wanted;
     if( up() ) {
-        transmit( Message( RelayAsk{ wanted } ) );
+        transmit( Message( RelayRequest{ wanted } ) );
     }
 }
 
-bool SidecarLink::answers( MonoTime now ) const {
-    return up() && now - m_channel->lastHeard() <= requestSilenceLimit;
+bool SidecarLink::isResponsive( MonoTime now ) const {
+    return up() && now - m_channel->lastReceivedAt() <= requestSilenceLimit;
 }
 
 net::Task<std::optional<Message>> SidecarLink::sendAndWait( std::uint64_t number, Message message,
@@ -163,7 +163,7 @@
     m_lastUse = MonoClock::now();
     transmit( message );
     auto now = MonoClock::now();
-    while( !waiter->ended && now < until && answers( now ) ) {
+    while( !waiter->ended && now < until && isResponsive( now ) ) {
         waiter->timer.expires_after( std::min( silenceCheckInterval, remaining( now, until ) ) );
         co_await waiter->timer.async_wait( net::tupled );
         now = MonoClock::now();
@@ -175,7 +175,7 @@
 net::Task<EnsureAnswer> SidecarLink::ensure( EnsureRequest request ) {
     EnsureAnswer out;
     const auto until = MonoClock::now() + Millis( request.limitMs ) + answerSlack;
-    const bool reached = co_await opened( Millis( request.limitMs ) );
+    const bool reached = co_await waitUntilOpen( Millis( request.limitMs ) );
     if( !reached ) {
         co_return out;
     }
@@ -194,7 +194,7 @@
 template <typename Answer, typename Request>
 net::Task<std::optional<Answer>> SidecarLink::requestAs( Request request, Millis limit ) {
     const auto until = MonoClock::now() + limit;
-    const bool reached = co_await opened( limit );
+    const bool reached = co_await waitUntilOpen( limit );
     if( !reached ) {
         co_return std::nullopt;
     }
@@ -208,13 +208,13 @@
     co_return std::get<Answer>( *answer );
 }
 
-net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::askQuota( decide::QuotaAsk request,
-                                                                     Millis limit ) {
+net::Task<std::optional<decide::QuotaAnswer>>
+SidecarLink::requestQuota( decide::QuotaRequest request, Millis limit ) {
     return requestAs<decide::QuotaAnswer>( std::move( request ), limit );
 }
 
-net::Task<std::optional<decide::LimitAnswer>> SidecarLink::askLimit( decide::LimitAsk request,
-                                                                     Millis limit ) {
+net::Task<std::optional<decide::LimitAnswer>>
+SidecarLink::requestLimitPermit( decide::LimitRequest request, Millis limit ) {
     return requestAs<decide::LimitAnswer>( std::move( request ), limit );
 }
 
@@ -260,21 +260,21 @@
     if( load != nullptr && m_handlers.load ) {
         m_handlers.load( load->load );
     }
-    const auto* news = std::get_if<StoreNews>( &*message );
+    const auto* news = std::get_if<StoreUpdate>( &*message );
     if( news != nullptr && m_handlers.news ) {
         // The handler may replace this link's handlers while it runs, so a copy is called.
         const auto handler = m_handlers.news;
         handler( *news );
     }
-    const auto* quarantines = std::get_if<decide::QuarantineNews>( &*message );
+    const auto* quarantines = std::get_if<decide::QuarantineUpdate>( &*message );
     if( quarantines != nullptr && m_handlers.quarantines ) {
         m_handlers.quarantines( *quarantines );
     }
-    const auto* limits = std::get_if<decide::LimitNews>( &*message );
+    const auto* limits = std::get_if<decide::LimitUpdate>( &*message );
     if( limits != nullptr && m_handlers.limits ) {
         m_handlers.limits( *limits );
     }
-    const bool specRequested = std::holds_alternative<SpecAsk>( *message );
+    const bool specRequested = std::holds_alternative<SpecRequest>( *message );
     if( specRequested && m_spec ) {
         transmit( "spec", m_spec->message );
     }
@@ -290,7 +290,7 @@
 }
 
 net::Task<> SidecarLink::serveConnection( net::Socket socket ) {
-    net::tune( socket, silenceLimit );
+    net::configureSocket( socket, silenceLimit );
     log::info( "sidecar_connected", { { "ip", m_ip } } );
     m_channel =
         std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::client );
@@ -304,7 +304,7 @@
         m_handlers.connected();
     }
     if( m_relayWanted ) {
-        askRelay( true );
+        requestRelay( true );
     }
     for( const auto& it : std::exchange( m_queuedMessages, {} ) ) {
         transmit( it );
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -34,9 +34,9 @@
         std::function<void()> connected;
         std::function<void( const SidecarReport& report )> report;
         std::function<void( const EngineLoad& load )> load;
-        std::function<void( const StoreNews& news )> news;
-        std::function<void( const decide::QuarantineNews& news )> quarantines;
-        std::function<void( const decide::LimitNews& news )> limits;
+        std::function<void( const StoreUpdate& news )> news;
+        std::function<void( const decide::QuarantineUpdate& news )> quarantines;
+        std::function<void( const decide::LimitUpdate& news )> limits;
     };
 
     SidecarLink( net::asio::io_context& context, std::string ip, int port );
@@ -52,38 +52,38 @@
     LinkState state() const noexcept { return m_state; }
     bool up() const noexcept { return m_state == LinkState::up; }
     //! True when the sidecar has sent something recently, so that a request to it is worthwhile.
-    bool answers( MonoTime now ) const;
+    bool isResponsive( MonoTime now ) const;
     //! True when the sidecar is responsive, or its state is unknown because the link is closed or
     //! still connecting: a request then opens the connection.
-    bool mayAnswer( MonoTime now ) const;
+    bool mayBeResponsive( MonoTime now ) const;
     //! True when no request is pending, no relay is requested, and the link has not been used since
     //! `since`.
     bool unusedSince( MonoTime since ) const {
         return m_waiters.empty() && m_openingTimers.empty() && !m_relayWanted && m_lastUse < since;
     }
     //! True while it is not yet known whether the sidecar can be reached.
-    bool untried( MonoTime now ) const;
+    bool reachabilityUnknown( MonoTime now ) const;
     //! Opens the connection and waits for the sidecar's first message; false after `limit`, or when
     //! the sidecar can't be reached.
-    net::Task<bool> opened( Millis limit );
+    net::Task<bool> waitUntilOpen( Millis limit );
 
     //! Sends the message that names the engine, now and after each reconnect. The engine's
     //! description is sent only when the sidecar requests it.
-    void setNews( EngineNews news, SpecTextPtr spec );
-    void send( const DemandNews& demand );
+    void announceEngine( EngineUpdate news, EncodedSpecPtr spec );
+    void send( const DemandUpdate& demand );
     //! Asks the sidecar to start or to stop relaying the store's changes; a wanted relay is
     //! requested again after each reconnect.
-    void askRelay( bool wanted );
+    void requestRelay( bool wanted );
     //! Sends the request and waits for the answer. Returns `failed` after the request's limit, or
     //! when the sidecar falls silent. The result's `number` is that of the request, for cancel().
     net::Task<EnsureAnswer> ensure( EnsureRequest request );
     //! Requests units of an organisation's quota; nullopt when no answer came within `limit`.
-    net::Task<std::optional<decide::QuotaAnswer>> askQuota( decide::QuotaAsk request,
-                                                            Millis limit );
+    net::Task<std::optional<decide::QuotaAnswer>> requestQuota( decide::QuotaRequest request,
+                                                                Millis limit );
     //! Requests an admission permit for an upstream with a rate limit; nullopt when no answer came
     //! within `limit`.
-    net::Task<std::optional<decide::LimitAnswer>> askLimit( decide::LimitAsk request,
-                                                            Millis limit );
+    net::Task<std::optional<decide::LimitAnswer>> requestLimitPermit( decide::LimitRequest request,
+                                                                      Millis limit );
     //! Sends a message, and opens the connection if needed. The message is dropped when the sidecar
     //! can't be reached.
     void send( const Message& message );
@@ -123,7 +123,7 @@
     Handlers m_handlers;
     LinkTraffic m_traffic;
     LinkState m_state = LinkState::closed;
-    std::set<net::Timer*> m_openingTimers; //!< timers of pending opened() calls
+    std::set<net::Timer*> m_openingTimers; //!< timers of pending waitUntilOpen() calls
     std::shared_ptr<net::FrameChannel> m_channel;
     bool m_messageReceived = false; //!< a message was received since the connection came up
     bool m_running = false;         //!< keepConnected() has not ended
@@ -133,7 +133,7 @@
     MonoTime m_upAt;
     std::vector<Message> m_queuedMessages; //!< messages waiting for the connection to come up
     std::string m_engineUpdate;            //!< encoded message that names the engine
-    SpecTextPtr m_spec;
+    EncodedSpecPtr m_spec;
     std::uint64_t m_nextNumber = 1;
     std::map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters;
 };
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -18,17 +18,17 @@
 //! case) would be sent there.
 constexpr Millis rewriteAfterRestore{ 10000 };
 
-FollowSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
-                               metrics::Metrics& metrics ) {
-    FollowSettings out;
+FollowerSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
+                                 metrics::Metrics& metrics ) {
+    FollowerSettings out;
     out.metrics = &metrics;
     out.kind = std::string( kind );
     out.wait = watchWait( settings.bounds );
     return out;
 }
 
-FollowSettings upstreamSettings( const platform::NodeSettings& settings,
-                                 metrics::Metrics& metrics ) {
+FollowerSettings upstreamSettings( const platform::NodeSettings& settings,
+                                   metrics::Metrics& metrics ) {
     auto out = followSettings( settings, platform::upstreamKind, metrics );
     out.pause = fractionOf( settings.bounds.drain, batchPauseFraction );
     return out;
@@ -38,7 +38,7 @@
 
 StoreFeed::StoreFeed( net::asio::io_context& context, const platform::NodeSettings& settings,
                       RandomSource& random, metrics::Metrics& metrics, Fleet& fleet,
-                      Registry& registry, FeedHandlers handlers )
+                      Registry& registry, StoreFeedHandlers handlers )
     : m_context( context ), m_settings( settings ), m_fleet( fleet ), m_registry( registry ),
       m_handlers( std::move( handlers ) ),
       m_configuration( context, settings.store,
@@ -55,14 +55,14 @@
       m_store( context, settings.store, &metrics ) {}
 
 void StoreFeed::start() {
-    m_fleet.onStoreNews( [this]( const std::string& upstreamId, const StoreNews& news ) {
+    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& news ) {
         applyUpdate( upstreamId, news );
     } );
     net::start( m_context, startFollowing(), "store feed" );
 }
 
-FollowHandlers StoreFeed::configurationHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::configurationHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
             applyConfiguration( it );
@@ -84,8 +84,8 @@
     }
 }
 
-FollowHandlers StoreFeed::quarantineHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::quarantineHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
             applyQuarantine( it );
@@ -101,8 +101,8 @@
     return out;
 }
 
-FollowHandlers StoreFeed::evacuationHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::evacuationHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         std::set<std::string> halls;
         for( const auto& it : objects ) {
@@ -152,7 +152,7 @@
     applyEvacuations( m_evacuatedHalls, now );
 }
 
-void StoreFeed::applyEvacuations( const StoreNews& news ) {
+void StoreFeed::applyEvacuations( const StoreUpdate& news ) {
     if( news.whole ) {
         applyEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
         return;
@@ -172,8 +172,8 @@
     }
 }
 
-FollowHandlers StoreFeed::upstreamHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::upstreamHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         std::vector<Upstream> upstreams;
         for( const auto& it : objects ) {
@@ -205,11 +205,11 @@
 
 void StoreFeed::applyUpstreamListing( std::vector<Upstream> upstreams ) {
     m_upstreamsListed = true;
-    m_registry.list( std::move( upstreams ), MonoClock::now() );
+    m_registry.applyListing( std::move( upstreams ), MonoClock::now() );
     m_handlers.upstreams();
 }
 
-void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreNews& news ) {
+void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreUpdate& news ) {
     if( upstreamId != m_relay ) {
         return;
     }
@@ -230,33 +230,33 @@
     // upstreams, so parts that rarely change need no time limit of their own.
     const auto until = MonoTime::max();
     if( news.part == StorePart::quarantines ) {
-        if( m_quarantines.relayed( news.position, news.whole, until ) ) {
+        if( m_quarantines.acceptRelayed( news.position, news.whole, until ) ) {
             m_handlers.quarantines( news.quarantines );
         }
         return;
     }
     if( news.part == StorePart::evacuations ) {
-        if( m_evacuations.relayed( news.position, news.whole, until ) ) {
+        if( m_evacuations.acceptRelayed( news.position, news.whole, until ) ) {
             applyEvacuations( news );
         }
         return;
     }
-    if( m_configuration.relayed( news.position, news.whole, until ) &&
+    if( m_configuration.acceptRelayed( news.position, news.whole, until ) &&
         !news.configuration.empty() ) {
         m_handlers.configuration( news.configuration );
     }
 }
 
-void StoreFeed::applyUpstreams( const StoreNews& news ) {
+void StoreFeed::applyUpstreams( const StoreUpdate& news ) {
     if( !news.whole && !m_upstreamsReceived ) {
         return;
     }
     m_upstreamsReceived = true;
     const auto now = MonoClock::now();
-    const auto until = now + relaySilence( m_settings.bounds );
+    const auto until = now + relaySilenceLimit( m_settings.bounds );
     // Changes that are dropped because this gateway knows them already leave no gap: later changes
     // follow on what it knows.
-    if( !m_upstreams.relayed( news.position, news.whole, until ) ) {
+    if( !m_upstreams.acceptRelayed( news.position, news.whole, until ) ) {
         return;
     }
     if( news.whole ) {
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -17,7 +17,7 @@
 namespace coursehead::gateway {
 
 //! Handlers for changes that the feed receives.
-struct FeedHandlers {
+struct StoreFeedHandlers {
     //! The configuration, as the operator wrote it.
     std::function<void( std::string_view json )> configuration;
     //! The registry was filled from a listing, or has changed.
@@ -40,7 +40,7 @@
 public:
     StoreFeed( net::asio::io_context& context, const platform::NodeSettings& settings,
                RandomSource& random, metrics::Metrics& metrics, Fleet& fleet, Registry& registry,
-               FeedHandlers handlers );
+               StoreFeedHandlers handlers );
 
     void start();
     //! Periodic work: checks the relay and replaces it if needed.
@@ -52,11 +52,11 @@
     }
 
 private:
-    FollowHandlers configurationHandlers();
-    FollowHandlers upstreamHandlers();
-    FollowHandlers quarantineHandlers();
-    FollowHandlers evacuationHandlers();
-    void applyEvacuations( const StoreNews& news );
+    FollowerHandlers configurationHandlers();
+    FollowerHandlers upstreamHandlers();
+    FollowerHandlers quarantineHandlers();
+    FollowerHandlers evacuationHandlers();
+    void applyEvacuations( const StoreUpdate& news );
     void applyEvacuations( std::set<std::string> halls, MonoTime now );
     void applyEvacuation( const std::string& hall, bool emptied );
     //! Ends the evacuation of halls that only the store's history before its restore names, once
@@ -65,8 +65,8 @@
     void applyQuarantine( const platform::StoreObject& object );
     void applyConfiguration( const platform::StoreObject& object ) const;
     void applyUpstreamListing( std::vector<Upstream> upstreams );
-    void applyUpdate( const std::string& upstreamId, const StoreNews& news );
-    void applyUpstreams( const StoreNews& news );
+    void applyUpdate( const std::string& upstreamId, const StoreUpdate& news );
+    void applyUpstreams( const StoreUpdate& news );
     //! Finds a relay at start, before the gateway knows any upstream, and starts the followers.
     net::Task<> startFollowing();
     //! Upstreams whose sidecars can relay, from a list that may be some seconds old.
@@ -86,7 +86,7 @@
     const platform::NodeSettings& m_settings;
     Fleet& m_fleet;
     Registry& m_registry;
-    FeedHandlers m_handlers;
+    StoreFeedHandlers m_handlers;
     ObjectReader m_reader;
     Follower m_configuration;
     Follower m_upstreams;
--- a/src/gateway/store_feed_relay.cpp
+++ b/src/gateway/store_feed_relay.cpp
@@ -120,7 +120,7 @@
     const auto until = startedAt + startupRelayLimit;
     auto link = std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.firstPort );
     SidecarLink::Handlers handlers;
-    handlers.news = [this, id = upstream.id]( const StoreNews& news ) {
+    handlers.news = [this, id = upstream.id]( const StoreUpdate& news ) {
         applyUpdate( id, news );
     };
     link->setHandlers( std::move( handlers ) );
@@ -142,7 +142,7 @@
 
 void StoreFeed::dropRelay( std::string_view why, Millis replacementTime, MonoTime now ) {
     log::info( "relay_lost", { { "upstream", m_relay }, { "why", why } } );
-    m_relayLink->askRelay( false );
+    m_relayLink->requestRelay( false );
     m_relayLink.reset();
     m_avoided[m_relay] = now + relayAvoidance;
     m_relay.clear();
@@ -156,7 +156,7 @@
 void StoreFeed::useRelay( const std::string& upstreamId, std::shared_ptr<SidecarLink> link,
                           MonoTime now ) {
     if( m_relayLink ) {
-        m_relayLink->askRelay( false );
+        m_relayLink->requestRelay( false );
     }
     m_relay = upstreamId;
     m_relayLink = std::move( link );
@@ -164,7 +164,7 @@
     m_upstreamsReceived = false;
     m_receivedParts.clear();
     log::info( "relay_chosen", { { "upstream", m_relay } } );
-    m_relayLink->askRelay( true );
+    m_relayLink->requestRelay( true );
     m_relayLink->open();
 }
 
@@ -174,7 +174,8 @@
     for( const auto& [id, node] : m_fleet.nodes() ) {
         if( node->sidecar ) {
             const auto avoided = m_avoided.find( id );
-            candidates.push_back( { id, node->sidecar->mayAnswer( now ) && node->takesRequests(),
+            candidates.push_back( { id,
+                                    node->sidecar->mayBeResponsive( now ) && node->takesRequests(),
                                     avoided != m_avoided.end() && avoided->second > now } );
             nodes.push_back( node );
         }
@@ -199,7 +200,7 @@
         const auto state = m_relayLink->state();
         if( state == LinkState::failing || state == LinkState::closed ) {
             dropRelay( "connection lost", relayReplacementTime, now );
-        } else if( now - m_lastRelayMessage > relaySilence( m_settings.bounds ) ) {
+        } else if( now - m_lastRelayMessage > relaySilenceLimit( m_settings.bounds ) ) {
             dropRelay( "silent", Millis{ 0 }, now );
         }
     }
--- a/src/net/json_client.hpp
+++ b/src/net/json_client.hpp
@@ -20,21 +20,21 @@
     std::string target;
     std::string body;
     std::vector<std::pair<std::string, std::string>> headers;
-    Millis limit{ 1000 };    //!< for the whole call
-    std::string wantedField; //!< name of a field of the answer to hand over
+    Millis limit{ 1000 };       //!< for the whole call
+    std::string responseHeader; //!< name of a field of the answer to hand over
 };
 
-enum class CallEnd {
+enum class CallOutcome {
     answered, //!< `status` and `body` hold the answer
     notSent,  //!< no connection: nothing happened
     unknown,  //!< cut or timed out: it may have taken effect
 };
 
-struct JsonAnswer {
-    CallEnd end = CallEnd::notSent;
+struct JsonResponse {
+    CallOutcome end = CallOutcome::notSent;
     unsigned status = 0;
     std::string body;
-    std::string wantedField; //!< value of the field that the call asked for
+    std::string responseHeader; //!< value of the field that the call asked for
 };
 
 //! Calls to one HTTP server, one at a time, on a connection that is kept.
@@ -43,10 +43,10 @@
     JsonClient( asio::io_context& context, std::string ip, int port );
 
     //! Makes a call. A call without effects is sent again once if a kept connection turns out dead.
-    Task<JsonAnswer> call( const JsonCall& call );
+    Task<JsonResponse> call( const JsonCall& call );
 
 private:
-    Task<JsonAnswer> callOnce( const JsonCall& call, MonoTime deadline );
+    Task<JsonResponse> callOnce( const JsonCall& call, MonoTime deadline );
     Task<bool> ensureConnected( MonoTime deadline );
     void drop();
 
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -36,7 +36,7 @@
                                          asio::io_context::executor_type>;
 
 //! Turns Nagle off, and gives a peer up that has not acknowledged bytes for `silence`.
-void tune( Socket& socket, Millis silence );
+void configureSocket( Socket& socket, Millis silence );
 //! Closing the connection from now on resets it: bytes that have not reached the other side are
 //! lost with it, and what it has read already it learns not to answer.
 void resetOnClose( Socket& socket );
@@ -45,7 +45,7 @@
 tcp::endpoint endpointOf( const std::string& ip, int port, ErrorCode& ec );
 
 //! What a deadline does to its socket.
-enum class WhenDue {
+enum class DeadlineAction {
     close,  //!< nothing more goes either way
     cancel, //!< only what waits is ended
 };
@@ -54,7 +54,7 @@
 //! socket must outlive it.
 class SocketDeadline {
 public:
-    SocketDeadline( Socket& socket, MonoTime at, WhenDue action = WhenDue::close );
+    SocketDeadline( Socket& socket, MonoTime at, DeadlineAction action = DeadlineAction::close );
     ~SocketDeadline() { cancel(); }
     SocketDeadline( const SocketDeadline& ) = delete;
     SocketDeadline& operator=( const SocketDeadline& ) = delete;
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -20,16 +20,16 @@
 class Admission {
 public:
     //! What the sidecar does for it.
-    struct Host {
-        std::function<bool( const Want& want )> isThere;
-        std::function<void( const Question& question, gateway::EnsureOutcome outcome, Millis wait,
-                            double workMs )>
+    struct Callbacks {
+        std::function<bool( const RequiredModel& required )> isResident;
+        std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome,
+                            Millis wait, double workMs )>
             answer;
-        std::function<void( Question question )> missing;      //!< what it needs has made way
-        std::function<void( const Question& question )> given; //!< it gets leave now
+        std::function<void( PendingEnsure ensure )> notResident;     //!< what it needs has made way
+        std::function<void( const PendingEnsure& ensure )> admitted; //!< it gets leave now
     };
 
-    Admission( net::asio::io_context& context, Host host );
+    Admission( net::asio::io_context& context, Callbacks host );
 
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! What a gateway knows of the engine's coldness, and what it is sent meanwhile.
@@ -38,7 +38,7 @@
         m_coldPerS = perS;
     }
     //! Queues a question's prompt, or answers at once.
-    void admit( Question question );
+    void admit( PendingEnsure ensure );
     //! What the engine's report says of its prompts and streams.
     void takeReport( const gateway::EngineReport& report, MonoTime now );
     //! A gateway has no use for the answer, or for the leave that it was given.
@@ -57,11 +57,11 @@
     void letThrough();
     void limitReading();
 
-    Host m_host;
+    Callbacks m_host;
     net::Timer m_timer;
     PromptGate m_gate;
     decide::EventPace m_eventPace;
-    std::map<std::uint64_t, Question> m_waiting; //!< by key
+    std::map<std::uint64_t, PendingEnsure> m_waiting; //!< by key
     decide::ColdGate m_cold;
     double m_coldPerS = 0; //!< prompts a second while it is cold; 0: no rule
     std::int64_t m_cacheTokens = 0;
--- a/src/sidecar/engine_view.hpp
+++ b/src/sidecar/engine_view.hpp
@@ -2,7 +2,7 @@
 #ifndef COURSEHEAD_SIDECAR_ENGINE_VIEW_HPP_INCLUDED
 #define COURSEHEAD_SIDECAR_ENGINE_VIEW_HPP_INCLUDED
 
-#include "decide/recall.hpp"
+#include "decide/model_restore.hpp"
 #include "decide/smoothed_rate.hpp"
 #include "sidecar/question.hpp"
 #include "sidecar/residency.hpp"
@@ -31,31 +31,31 @@
         bool startedEmpty = false;        //!< the first report, and the engine holds nothing
         bool restarted = false;           //!< it is another start, under the same id or not
         //! What the engine held before it came back empty.
-        std::vector<decide::FormerModel> lost;
+        std::vector<decide::PreviousModel> lost;
     };
     News take( gateway::EngineReport report, MonoTime now );
     const gateway::EngineReport& report() const noexcept { return m_report; }
 
     //! How much all gateways use a model, by what those that are connected ask for anywhere. Where
     //! only some are, it is what is let in here, at each of its copies.
-    Use useOf( const std::string& model, MonoTime now ) const;
+    Usage useOf( const std::string& model, MonoTime now ) const;
     //! Reading of a model's prompts that all gateways ask for, in milliseconds a second.
     double workPerS( const std::string& model, MonoTime now ) const;
     //! What a decision on the next order rests on. Needs the spec.
-    Holdings holdings( MonoTime now ) const;
-    bool isThere( const Want& want, MonoTime now ) const;
+    ResidencyState holdings( MonoTime now ) const;
+    bool isResident( const RequiredModel& required, MonoTime now ) const;
     bool hasWeights( std::string_view model ) const;
 
-    void noteUse( const Want& want, MonoTime now );
+    void noteUse( const RequiredModel& required, MonoTime now );
     //! A request for a model is let in, whose prompt takes this long to read.
     void noteLetIn( const std::string& model, double workMs, MonoTime now );
-    void noteDemand( const gateway::DemandNews& news, MonoTime now );
+    void noteDemand( const gateway::DemandUpdate& news, MonoTime now );
     //! An unload was ordered, and may be carried out.
     void noteUnload( const Step& step, MonoTime now );
     //! The model that gateways are told is no longer here; empty: none. True when it is another.
     bool setRetiring( const std::string& model, MonoTime now );
     //! What requests may still be sent for.
-    std::vector<gateway::Resident> offered() const;
+    std::vector<gateway::Resident> availableResidents() const;
 
 private:
     //! True when most of the gateways that are about are connected.
@@ -67,13 +67,13 @@
     std::optional<gateway::EngineSpec> m_spec;
     gateway::EngineReport m_report;
     bool m_reported = false; //!< the engine has reported once
-    std::vector<decide::FormerModel> m_lastHeld;
+    std::vector<decide::PreviousModel> m_lastHeld;
     std::map<std::string, MonoTime> m_loadedAt;
     std::map<std::string, decide::SmoothedRate> m_letIn;     //!< requests, by model
     std::map<std::string, decide::SmoothedRate> m_letInWork; //!< reading in milliseconds, likewise
-    std::map<std::string, Use, std::less<>> m_adapterUses;
-    std::vector<Unloading> m_unloads; //!< ordered, and not yet known to be done
-    std::string m_retiring;           //!< model that is about to make way, or empty
+    std::map<std::string, Usage, std::less<>> m_adapterUses;
+    std::vector<PendingUnload> m_unloads; //!< ordered, and not yet known to be done
+    std::string m_retiring;               //!< model that is about to make way, or empty
     MonoTime m_retiringSince;
 };
 
--- a/src/sidecar/orders.hpp
+++ b/src/sidecar/orders.hpp
@@ -22,21 +22,21 @@
 class Orders {
 public:
     //! What the sidecar does for it.
-    struct Host {
-        std::function<void( const Question& question, gateway::EnsureOutcome outcome )> answer;
-        std::function<void( Question question )> ready; //!< what it waited for is there
-        std::function<void()> changed;                  //!< gateways should hear of the engine
+    struct Callbacks {
+        std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome )> answer;
+        std::function<void( PendingEnsure ensure )> ready; //!< what it waited for is there
+        std::function<void()> changed;                     //!< gateways should hear of the engine
     };
 
     Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
             EngineClient& engine, EngineView& view, RandomSource& random, metrics::Metrics& metrics,
-            Host host );
+            Callbacks host );
 
     //! Begins to obtain the fencing token; no order is given without. On the deployment's first
     //! start the store is not asked for it.
     void start();
     //! Queues a question for a model or adapter that is not there.
-    void add( Question question );
+    void add( PendingEnsure ensure );
     void forget( std::uint64_t key );
     void forgetPeer( const Peer& peer );
     bool waiting() const noexcept { return !m_wants.empty(); }
@@ -44,7 +44,7 @@
     //! The engine's present start, as gateways know it.
     void setEngine( const std::string& upstreamId ) { m_engineId = upstreamId; }
     //! The engine has come back empty.
-    void recall( std::vector<decide::FormerModel> lost );
+    void modelRestore( std::vector<decide::PreviousModel> lost );
     //! The same, and this process has just started: the store's list says what the engine held.
     void recallFromStore();
     //! Answers what can be answered, and gives the next order.
@@ -62,10 +62,10 @@
 private:
     net::Task<> obtainFence();
     net::Task<> readFormer();
-    std::optional<Step> recallStep( const Holdings& held, MonoTime now );
+    std::optional<Step> recallStep( const ResidencyState& held, MonoTime now );
     net::Task<> give( Step step, std::string upstreamId );
     void noteMoved( const std::string& meant, const std::string& actual );
-    void fail( const std::function<bool( const Question& question )>& which );
+    void fail( const std::function<bool( const PendingEnsure& ensure )>& which );
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
@@ -73,13 +73,13 @@
     EngineView& m_view;
     RandomSource& m_random;
     metrics::Metrics& m_metrics;
-    Host m_host;
-    std::list<Question> m_wants;
+    Callbacks m_host;
+    std::list<PendingEnsure> m_wants;
     std::uint64_t m_fence = 0; //!< 0: none yet
     std::string m_engineId;    //!< the engine's present start, as far as known
     std::vector<std::string> m_former;
     std::optional<MonoTime> m_orderAt; //!< when the last order was given
-    decide::Recall m_recall;
+    decide::ModelRestore m_recall;
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/prompt_gate.hpp
+++ b/src/sidecar/prompt_gate.hpp
@@ -17,11 +17,11 @@
 namespace coursehead::sidecar {
 
 //! A prompt whose request waits for leave to be sent.
-struct PromptAsk {
+struct PromptRequest {
     std::uint64_t key = 0; //!< names it among all that ask
     std::string model;
     std::string adapter;
-    gateway::AskedPrompt prompt;
+    gateway::PendingPrompt prompt;
     MonoTime since;    //!< when its request asked
     Millis limit{ 0 }; //!< from then on; it waits no longer
 };
@@ -44,12 +44,12 @@
     //! `gapTarget`: the streams' one where reading has to leave room for it; else zero.
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! Queues a prompt, or says when the engine could begin with it.
-    decide::ReadingVerdict ask( const PromptAsk& ask, MonoTime now );
+    decide::ReadingVerdict ask( const PromptRequest& ask, MonoTime now );
     //! Prompts that may be sent now.
-    std::vector<PromptLeave> takeDue( MonoTime now );
+    std::vector<PromptLeave> takeAdmitted( MonoTime now );
     //! Prompts that come too late for their requests by now.
-    std::vector<std::uint64_t> takeLate( MonoTime now );
-    //! When takeDue() has one; nullopt while none waits.
+    std::vector<std::uint64_t> takeExpired( MonoTime now );
+    //! When takeAdmitted() has one; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const { return m_queue.nextAt( now ); }
     //! The request has no use for a prompt any more, queued or let through.
     void withdraw( std::uint64_t key, MonoTime now );
@@ -67,14 +67,14 @@
     bool busy( MonoTime now ) const { return m_queue.busy( now ); }
 
 private:
-    double workOf( const PromptAsk& ask ) const;
+    double workOf( const PromptRequest& ask ) const;
 
     decide::ReadingQueue m_queue;
     gateway::PrefixCache m_prefixes;
     std::int64_t m_cacheTokens = 0;
-    std::map<std::uint64_t, PromptAsk> m_waiting; //!< by key
-    double m_usualWorkMs = 0;                     //!< smoothed over those let through
-    std::deque<MonoTime> m_leaves;                //!< times of those that may still be on their way
+    std::map<std::uint64_t, PromptRequest> m_waiting; //!< by key
+    double m_usualWorkMs = 0;                         //!< smoothed over those let through
+    std::deque<MonoTime> m_leaves; //!< times of those that may still be on their way
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/question.hpp
@@ -26,13 +26,13 @@
 using PeerPtr = std::shared_ptr<Peer>;
 
 //! What a gateway waits for: a model or adapter, then leave to send a prompt.
-struct Question {
-    Want want;
+struct PendingEnsure {
+    RequiredModel required;
     std::string upstreamId;
     std::weak_ptr<Peer> peer;
     std::uint64_t number = 0; //!< as the gateway counts
     std::uint64_t key = 0;    //!< among the questions of all connections
-    gateway::AskedPrompt prompt;
+    gateway::PendingPrompt prompt;
     MonoTime since;
     Millis limit{ 0 };   //!< the gateway waits no longer
     bool loaded = false; //!< something had to be ordered or waited for
--- a/src/sidecar/residency.hpp
+++ b/src/sidecar/residency.hpp
@@ -13,7 +13,7 @@
 namespace coursehead::sidecar {
 
 //! How much a model or adapter is used, as far as the sidecar knows.
-struct Use {
+struct Usage {
     double perS = 0; //!< requests a second, all gateways together
     int copies = 1;  //!< upstreams that hold it
     int running = 0; //!< requests in flight for it here, as gateways say
@@ -27,51 +27,51 @@
  * reports go on listing what it unloads. Of 290 requests that engines refused on a loaded day 270
  * were sent to a model that its own sidecar had ordered out.
  */
-struct Unloading {
+struct PendingUnload {
     std::string model;
     std::string adapter; //!< empty: the model
     MonoTime since;
 };
 //! Forgets what a report shows to be done or lost; the report was asked for after the orders.
-void settleUnloads( std::vector<Unloading>& unloads, const gateway::EngineReport& report,
-                    MonoTime now );
-bool isUnloading( const std::vector<Unloading>& unloads, std::string_view model,
+void removeFinishedUnloads( std::vector<PendingUnload>& unloads,
+                            const gateway::EngineReport& report, MonoTime now );
+bool isUnloading( const std::vector<PendingUnload>& unloads, std::string_view model,
                   std::string_view adapter );
 //! Residents that requests may still be sent for: without those that make way.
-std::vector<gateway::Resident> offered( const std::vector<gateway::Resident>& residents,
-                                        const std::vector<Unloading>& unloads,
-                                        std::string_view retiring );
+std::vector<gateway::Resident> availableResidents( const std::vector<gateway::Resident>& residents,
+                                                   const std::vector<PendingUnload>& unloads,
+                                                   std::string_view retiring );
 
 //! What the decision rests on.
-struct Holdings {
+struct ResidencyState {
     const gateway::EngineSpec* engine = nullptr;
     const gateway::EngineReport* report = nullptr;
-    std::map<std::string, Use, std::less<>> models;
-    std::map<std::string, Use, std::less<>> adapters; //!< by MODEL/NAME
-    std::string retiring;                             //!< model that gets no new requests; or empty
+    std::map<std::string, Usage, std::less<>> models;
+    std::map<std::string, Usage, std::less<>> adapters; //!< by MODEL/NAME
+    std::string retiring; //!< model that gets no new requests; or empty
     MonoTime retiringSince;
-    std::vector<Unloading> unloads; //!< under way; their memory is still taken
+    std::vector<PendingUnload> unloads; //!< under way; their memory is still taken
 };
 
 //! A model, or an adapter of it, that a request waits for.
-struct Want {
+struct RequiredModel {
     std::string model;
     std::string adapter;    //!< empty: the model alone
     bool fromStore = false; //!< the weight store may be used
 
-    bool operator==( const Want& ) const = default;
+    bool operator==( const RequiredModel& ) const = default;
 };
 
 enum class StepKind {
-    ready,     //!< it is there
-    leaving,   //!< it is there, and on its way out: nobody is let in, or waits for it
-    wait,      //!< an order under way has to end first
-    load,      //!< order to load `model` or `adapter`
-    unload,    //!< order to unload `model` or `adapter`, to make room
-    retire,    //!< send no more requests for `model`: it makes way when those running have ended
-    noRoom,    //!< nothing may make way now
-    needStore, //!< only the weight store has it, and that may not be used
-    unknown,   //!< the engine does not offer it
+    ready,      //!< it is there
+    unloading,  //!< it is there, and on its way out: nobody is let in, or waits for it
+    wait,       //!< an order under way has to end first
+    load,       //!< order to load `model` or `adapter`
+    unload,     //!< order to unload `model` or `adapter`, to make room
+    retire,     //!< send no more requests for `model`: it makes way when those running have ended
+    noCapacity, //!< nothing may make way now
+    needsWeightStore, //!< only the weight store has it, and that may not be used
+    unknown,          //!< the engine does not offer it
 };
 struct Step {
     StepKind kind = StepKind::wait;
@@ -80,13 +80,13 @@
 };
 
 //! The next step towards a want.
-Step nextStep( const Holdings& holdings, const Want& want, MonoTime now );
+Step nextStep( const ResidencyState& holdings, const RequiredModel& required, MonoTime now );
 
 //! Weights and adapters that the engine holds or is taking in, in megabytes.
 double usedMb( const gateway::EngineSpec& engine, const gateway::EngineReport& report );
 
 //! True when another adapter could be loaded without waiting for running requests to end.
-bool adapterRoom( const Holdings& holdings, MonoTime now );
+bool hasAdapterCapacity( const ResidencyState& holdings, MonoTime now );
 
 std::string adapterKey( std::string_view model, std::string_view adapter );
 
--- a/src/sidecar/sent_parts.hpp
+++ b/src/sidecar/sent_parts.hpp
@@ -20,7 +20,7 @@
 public:
     void add( std::span<const gateway::SentPart> parts );
     //! Those added or used again since the last call, the one used last at the end.
-    std::vector<gateway::SentPart> takeNew();
+    std::vector<gateway::SentPart> takeUnpublished();
     //! All that are remembered, the one used last at the end.
     std::vector<gateway::SentPart> all() const;
     void clear();
