--- a/src/gateway/follower.hpp
+++ b/src/gateway/follower.hpp
@@ -49,7 +49,7 @@
     void stop() { m_stopped = true; }
 
     /**
-     * Takes note that a relay has delivered everything up to a position, as a `complete` snapshot
+     * Records that a relay has delivered everything up to a position, as a `complete` snapshot
      * or as changes; the follower makes no calls until `until`. Returns false when the delivery has
      * to be dropped, because the follower is ahead of it or the changes belong to another history.
      */
@@ -81,8 +81,8 @@
     bool m_stopped = false;
     bool m_listed = false;
     bool m_reachable = false;
-    bool m_lastCallCutShort =
-        false; //!< the last call was cut short; the next one decides whether the store is lost
+    //! The last call failed before its time limit; the next call decides whether the store is lost.
+    bool m_lastCallCutShort = false;
     bool m_hasPosition = false; //!< something has been delivered
     decide::StorePosition m_position;
     Millis m_retryDelay;
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -52,8 +52,8 @@
 struct PendingPrompt {
     std::int64_t tokens = 0; //!< of the whole prompt
     double msPerToken = 0;   //!< prompt reading time of the model, as the gateway measured it
-    std::int64_t goalMs =
-        0; //!< prompt reading has to start within this time for the answer to be on time
+    //! Prompt reading has to start within this time for the answer to be on time.
+    std::int64_t goalMs = 0;
     bool late = false; //!< reading may also start after the goal, within the request's limit
     std::vector<PendingPromptPart> parts;
 };
@@ -67,9 +67,8 @@
     bool fromStore = false;   //!< the weight store may be used
     std::int64_t limitMs = 0; //!< time after which the gateway stops waiting for the answer
     PendingPrompt prompt;     //!< without tokens: there is no prompt to send
-    std::int64_t coldMs =
-        0;               //!< remaining time for which the engine is cold, as the gateway knows it
-    double coldPerS = 0; //!< prompts per second for the engine while it is cold; 0: no limit
+    std::int64_t coldMs = 0;  //!< remaining cold time of the engine, as the gateway knows it
+    double coldPerS = 0;      //!< prompts per second for the engine while it is cold; 0: no limit
 };
 
 //! Withdraws an EnsureRequest, or gives back the admission permit that its answer granted.
@@ -92,7 +91,7 @@
     std::uint64_t number = 0;
     EnsureOutcome outcome = EnsureOutcome::failed;
     std::int64_t waitMs = 0; //!< time until the engine could start on another prompt like this one
-    double workMs = 0; //!< reading time of the prompt, without the parts that the engine has cached
+    double workMs = 0;       //!< reading time of the prompt, less the parts cached by the engine
     //! Prompt reading, in milliseconds per second, that all gateways request of the model;
     //! negative: unknown.
     double modelWorkPerS = -1;
@@ -105,8 +104,8 @@
     double workPerS = 0; //!< milliseconds of prompt reading per second, smoothed
     int copies = 0;      //!< number of upstreams that hold the model
     int running = 0;     //!< this gateway's requests in flight for the model at this engine
-    std::vector<std::string>
-        adaptersUsed; //!< by requests sent since the last message, or in flight
+    //! Adapters used by requests that are in flight or were sent since the last message.
+    std::vector<std::string> adaptersUsed;
 };
 
 //! Prompt part that several prompts share, as it was sent to an engine.
@@ -127,30 +126,29 @@
 
 //! Load figures of an engine, which change all the time.
 struct EngineLoad {
-    bool orderInProgress = false; //!< an order is in progress
+    bool orderInProgress = false;
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling = 0;
-    bool hasAdapterCapacity =
-        true; //!< another adapter could be loaded without waiting for running requests
-    int latePausesPercent =
-        0; //!< share of the engine's recent streams with a pause above the gap target
-    int readingPercent = 0; //!< share of the engine's time spent on reading prompts of all gateways
-    std::int64_t readingWaitMs =
-        0;            //!< time until the engine could start on a prompt of the usual size
+    //! Another adapter could be loaded without waiting for running requests.
+    bool hasAdapterCapacity = true;
+    int latePausesPercent = 0; //!< recent streams with a pause above the gap target
+    int readingPercent = 0;    //!< engine time spent on reading prompts of all gateways
+    //! Time until the engine could start on a prompt of the usual size.
+    std::int64_t readingWaitMs = 0;
     int gateways = 0; //!< number connected to this sidecar
-    std::vector<SentPart>
-        sentParts; //!< parts that gateways sent to the engine since the last message
+    //! Parts that gateways sent to the engine since the last message.
+    std::vector<SentPart> sentParts;
 };
 
 //! A sidecar's complete report on its engine. Sent to a gateway that connects, and when anything
 //! but the load changes.
 struct SidecarReport {
     bool reachable = false; //!< the engine answers the sidecar
-    std::vector<std::string>
-        formerUpstreams; //!< earlier starts of the engine, known from its refusals
+    //! Earlier starts of the engine, known from its refusals.
+    std::vector<std::string> formerUpstreams;
     std::vector<Resident> residents;
-    std::vector<std::string> loadingAdapters; //!< adapters being loaded, as MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< as MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
     EngineLoad load;
@@ -181,11 +179,11 @@
     decide::StorePosition position;
     bool reachable = true; //!< the store answered; if not, only part and position are set
     bool whole = false;    //!< a snapshot of the part, not only its changes
-    std::vector<Upstream>
-        upstreams; //!< added, or changed in more than their adapters or remaining cold time
-    std::vector<std::string>
-        gone;                  //!< ids of removed upstreams, or halls that are no longer evacuated
-    std::string configuration; //!< the operator's text; empty: unchanged
+    //! Added, or changed in more than their adapters or remaining cold time.
+    std::vector<Upstream> upstreams;
+    //! Ids of removed upstreams, or halls that are no longer evacuated.
+    std::vector<std::string> gone;
+    std::string configuration;                   //!< the operator's text; empty: unchanged
     std::vector<decide::Quarantine> quarantines; //!< added
     std::vector<std::string> emptied;            //!< halls under evacuation
 };
--- a/src/gateway/registry.hpp
+++ b/src/gateway/registry.hpp
@@ -27,8 +27,8 @@
 class Registry {
 public:
     struct Settings {
-        Millis missingEntryHold{
-            2000 }; //!< after an outage, time for lapsed entries to be written again
+        //! Time after an outage for lapsed entries to be written again.
+        Millis missingEntryHold{ 2000 };
     };
     explicit Registry( Settings settings ) : m_settings( settings ) {}
 
--- a/src/gateway/relay_times.hpp
+++ b/src/gateway/relay_times.hpp
@@ -23,8 +23,8 @@
 //! know every change.
 inline Millis watchWait( const platform::Bounds& bounds ) {
     constexpr double contactFraction = 0.9;
-    constexpr double minContactFraction =
-        0.3; // used where the contact bound is hardly longer than the slack
+    // Used where the contact bound is hardly longer than the slack.
+    constexpr double minContactFraction = 0.3;
     return std::max( fractionOf( bounds.contact, contactFraction ) - platform::watchSlack,
                      fractionOf( bounds.contact, minContactFraction ) );
 }
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -10,8 +10,7 @@
 constexpr Millis connectLimit{ 500 };
 constexpr Millis firstRetryDelay{ 250 };
 constexpr Millis maxRetryDelay{ 1000 };
-//! A sidecar sends something every 500 ms at the latest; after three missed messages the connection
-//! counts as dead.
+//! Sidecars send a message every 500 ms; after three missed messages the connection counts as dead.
 constexpr Millis silenceLimit{ 1500 };
 //! Requests are not sent to a sidecar that has been silent for this long. A running sidecar sends a
 //! report every 450 ms at the latest, and waiting for one that hangs would cost a client's request
@@ -108,10 +107,10 @@
     co_return up() && m_messageReceived;
 }
 
-void SidecarLink::announceEngine( EngineUpdate news, EncodedSpecPtr spec ) {
+void SidecarLink::announceEngine( EngineUpdate update, EncodedSpecPtr spec ) {
     m_spec = std::move( spec );
-    news.spec = m_spec ? m_spec->key : 0;
-    const Message message( std::move( news ) );
+    update.spec = m_spec ? m_spec->key : 0;
+    const Message message( std::move( update ) );
     auto encoded = encode( message );
     if( encoded == m_engineUpdate ) {
         return;
@@ -155,13 +154,13 @@
     return up() && now - m_channel->lastReceivedAt() <= requestSilenceLimit;
 }
 
-net::Task<std::optional<Message>> SidecarLink::sendAndWait( std::uint64_t number, Message message,
-                                                            MonoTime until ) {
+net::Task<std::optional<Message>>
+SidecarLink::sendAndWait( std::uint64_t number, Message requestMessage, MonoTime until ) {
     const auto self = shared_from_this();
     const auto waiter = std::make_shared<Waiter>( m_context );
     m_waiters.emplace( number, waiter );
     m_lastUse = MonoClock::now();
-    transmit( message );
+    transmit( requestMessage );
     auto now = MonoClock::now();
     while( !waiter->ended && now < until && isResponsive( now ) ) {
         waiter->timer.expires_after( std::min( silenceCheckInterval, remaining( now, until ) ) );
@@ -181,8 +180,8 @@
     }
     const auto number = m_nextNumber++;
     request.number = number;
-    Message message( std::move( request ) );
-    const auto answer = co_await sendAndWait( number, std::move( message ), until );
+    Message requestMessage( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( requestMessage ), until );
     if( !answer ) {
         cancel( number );
         out.number = number;
@@ -200,8 +199,8 @@
     }
     const auto number = m_nextNumber++;
     request.number = number;
-    Message message( std::move( request ) );
-    const auto answer = co_await sendAndWait( number, std::move( message ), until );
+    Message requestMessage( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( requestMessage ), until );
     if( !answer ) {
         co_return std::nullopt;
     }
@@ -260,11 +259,11 @@
     if( load != nullptr && m_handlers.load ) {
         m_handlers.load( load->load );
     }
-    const auto* news = std::get_if<StoreUpdate>( &*message );
-    if( news != nullptr && m_handlers.news ) {
+    const auto* storeUpdate = std::get_if<StoreUpdate>( &*message );
+    if( storeUpdate != nullptr && m_handlers.news ) {
         // The handler may replace this link's handlers while it runs, so a copy is called.
         const auto handler = m_handlers.news;
-        handler( *news );
+        handler( *storeUpdate );
     }
     const auto* quarantines = std::get_if<decide::QuarantineUpdate>( &*message );
     if( quarantines != nullptr && m_handlers.quarantines ) {
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -34,9 +34,9 @@
         std::function<void()> connected;
         std::function<void( const SidecarReport& report )> report;
         std::function<void( const EngineLoad& load )> load;
-        std::function<void( const StoreUpdate& news )> news;
-        std::function<void( const decide::QuarantineUpdate& news )> quarantines;
-        std::function<void( const decide::LimitUpdate& news )> limits;
+        std::function<void( const StoreUpdate& update )> news;
+        std::function<void( const decide::QuarantineUpdate& update )> quarantines;
+        std::function<void( const decide::LimitUpdate& update )> limits;
     };
 
     SidecarLink( net::asio::io_context& context, std::string ip, int port );
@@ -69,7 +69,7 @@
 
     //! Sends the message that names the engine, now and after each reconnect. The engine's
     //! description is sent only when the sidecar requests it.
-    void announceEngine( EngineUpdate news, EncodedSpecPtr spec );
+    void announceEngine( EngineUpdate update, EncodedSpecPtr spec );
     void send( const DemandUpdate& demand );
     //! Asks the sidecar to start or to stop relaying the store's changes; a wanted relay is
     //! requested again after each reconnect.
@@ -102,7 +102,7 @@
 
     //! Sends a request and waits for its answer until `until`; stops waiting when the sidecar falls
     //! silent.
-    net::Task<std::optional<Message>> sendAndWait( std::uint64_t number, Message message,
+    net::Task<std::optional<Message>> sendAndWait( std::uint64_t number, Message requestMessage,
                                                    MonoTime until );
     //! Opens the connection, numbers the request, sends it and waits for an answer of type Answer.
     template <typename Answer, typename Request>
--- a/src/gateway/spec_text.cpp
+++ b/src/gateway/spec_text.cpp
@@ -6,12 +6,12 @@
 namespace coursehead::gateway {
 
 EncodedSpecPtr encodeSpec( const EngineSpec& spec ) {
-    SpecAnswer news;
-    news.engine = spec;
-    news.key = hash64( encode( Message( news ) ) );
+    SpecAnswer answer;
+    answer.engine = spec;
+    answer.key = hash64( encode( Message( answer ) ) );
     auto out = std::make_shared<EncodedSpec>();
-    out->key = news.key;
-    out->message = encode( Message( std::move( news ) ) );
+    out->key = answer.key;
+    out->message = encode( Message( std::move( answer ) ) );
     return out;
 }
 
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -55,8 +55,8 @@
       m_store( context, settings.store, &metrics ) {}
 
 void StoreFeed::start() {
-    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& news ) {
-        applyUpdate( upstreamId, news );
+    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& update ) {
+        applyUpdate( upstreamId, update );
     } );
     net::start( m_context, startFollowing(), "store feed" );
 }
@@ -152,15 +152,15 @@
     applyEvacuations( m_evacuatedHalls, now );
 }
 
-void StoreFeed::applyEvacuations( const StoreUpdate& news ) {
-    if( news.whole ) {
-        applyEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
+void StoreFeed::applyEvacuations( const StoreUpdate& update ) {
+    if( update.whole ) {
+        applyEvacuations( { update.emptied.begin(), update.emptied.end() }, MonoClock::now() );
         return;
     }
-    for( const auto& it : news.emptied ) {
+    for( const auto& it : update.emptied ) {
         applyEvacuation( it, true );
     }
-    for( const auto& it : news.gone ) {
+    for( const auto& it : update.gone ) {
         applyEvacuation( it, false );
     }
 }
@@ -209,46 +209,46 @@
     m_handlers.upstreams();
 }
 
-void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreUpdate& news ) {
+void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreUpdate& update ) {
     if( upstreamId != m_relay ) {
         return;
     }
     const auto now = MonoClock::now();
-    if( !news.reachable ) {
+    if( !update.reachable ) {
         dropRelay( "without the store", Millis{ 0 }, now );
         return;
     }
-    if( news.whole ) {
-        m_receivedParts.insert( news.part );
+    if( update.whole ) {
+        m_receivedParts.insert( update.part );
     }
-    if( news.part == StorePart::upstreams ) {
+    if( update.part == StorePart::upstreams ) {
         m_lastRelayMessage = now;
-        applyUpstreams( news );
+        applyUpstreams( update );
         return;
     }
     // A live relay reports a store that doesn't answer, and its silence shows in the messages on
     // upstreams, so parts that rarely change need no time limit of their own.
     const auto until = MonoTime::max();
-    if( news.part == StorePart::quarantines ) {
-        if( m_quarantines.acceptRelayed( news.position, news.whole, until ) ) {
-            m_handlers.quarantines( news.quarantines );
+    if( update.part == StorePart::quarantines ) {
+        if( m_quarantines.acceptRelayed( update.position, update.whole, until ) ) {
+            m_handlers.quarantines( update.quarantines );
         }
         return;
     }
-    if( news.part == StorePart::evacuations ) {
-        if( m_evacuations.acceptRelayed( news.position, news.whole, until ) ) {
-            applyEvacuations( news );
+    if( update.part == StorePart::evacuations ) {
+        if( m_evacuations.acceptRelayed( update.position, update.whole, until ) ) {
+            applyEvacuations( update );
         }
         return;
     }
-    if( m_configuration.acceptRelayed( news.position, news.whole, until ) &&
-        !news.configuration.empty() ) {
-        m_handlers.configuration( news.configuration );
+    if( m_configuration.acceptRelayed( update.position, update.whole, until ) &&
+        !update.configuration.empty() ) {
+        m_handlers.configuration( update.configuration );
     }
 }
 
-void StoreFeed::applyUpstreams( const StoreUpdate& news ) {
-    if( !news.whole && !m_upstreamsReceived ) {
+void StoreFeed::applyUpstreams( const StoreUpdate& update ) {
+    if( !update.whole && !m_upstreamsReceived ) {
         return;
     }
     m_upstreamsReceived = true;
@@ -256,20 +256,20 @@
     const auto until = now + relaySilenceLimit( m_settings.bounds );
     // Changes that are dropped because this gateway knows them already leave no gap: later changes
     // follow on what it knows.
-    if( !m_upstreams.acceptRelayed( news.position, news.whole, until ) ) {
+    if( !m_upstreams.acceptRelayed( update.position, update.whole, until ) ) {
         return;
     }
-    if( news.whole ) {
-        applyUpstreamListing( news.upstreams );
+    if( update.whole ) {
+        applyUpstreamListing( update.upstreams );
         return;
     }
-    for( const auto& it : news.upstreams ) {
+    for( const auto& it : update.upstreams ) {
         m_registry.put( it, now );
     }
-    for( const auto& it : news.gone ) {
+    for( const auto& it : update.gone ) {
         m_registry.remove( it, now );
     }
-    if( !news.upstreams.empty() || !news.gone.empty() ) {
+    if( !update.upstreams.empty() || !update.gone.empty() ) {
         m_handlers.upstreams();
     }
 }
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -56,7 +56,7 @@
     FollowerHandlers upstreamHandlers();
     FollowerHandlers quarantineHandlers();
     FollowerHandlers evacuationHandlers();
-    void applyEvacuations( const StoreUpdate& news );
+    void applyEvacuations( const StoreUpdate& update );
     void applyEvacuations( std::set<std::string> halls, MonoTime now );
     void applyEvacuation( const std::string& hall, bool emptied );
     //! Ends the evacuation of halls that only the store's history before its restore names, once
@@ -65,8 +65,8 @@
     void applyQuarantine( const platform::StoreObject& object );
     void applyConfiguration( const platform::StoreObject& object ) const;
     void applyUpstreamListing( std::vector<Upstream> upstreams );
-    void applyUpdate( const std::string& upstreamId, const StoreUpdate& news );
-    void applyUpstreams( const StoreUpdate& news );
+    void applyUpdate( const std::string& upstreamId, const StoreUpdate& update );
+    void applyUpstreams( const StoreUpdate& update );
     //! Finds a relay at start, before the gateway knows any upstream, and starts the followers.
     net::Task<> startFollowing();
     //! Upstreams whose sidecars can relay, from a list that may be some seconds old.
