--- a/src/gateway/messages.cpp
+++ b/src/gateway/messages.cpp
@@ -337,9 +337,9 @@
 
 void to_json( Json& out, const Upstream& in ) {
     const Json created = in.created;
-    const auto left = in.remaining ? in.remaining->count() : std::int64_t{ -1 };
+    const auto remainingMs = in.remaining ? in.remaining->count() : std::int64_t{ -1 };
     out = Json::array( { in.id, created, in.service, in.ip, in.port, in.hall, in.slots,
-                         in.state == UpstreamState::draining, left, in.residents, in.born,
+                         in.state == UpstreamState::draining, remainingMs, in.residents, in.born,
                          in.cold.count() } );
 }
 
@@ -352,9 +352,9 @@
     out.hall = in.at( 5 ).get<std::string>();
     out.slots = in.at( 6 ).get<int>();
     out.state = in.at( 7 ).get<bool>() ? UpstreamState::draining : UpstreamState::ready;
-    const auto left = in.at( 8 ).get<std::int64_t>();
-    if( left >= 0 ) {
-        out.remaining = Millis( left );
+    const auto remainingMs = in.at( 8 ).get<std::int64_t>();
+    if( remainingMs >= 0 ) {
+        out.remaining = Millis( remainingMs );
     }
     out.residents = in.at( 9 ).get<std::vector<Resident>>();
     out.born = in.at( 10 ).get<StartTime>();
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -32,7 +32,7 @@
 SidecarLink::SidecarLink( net::asio::io_context& context, std::string ip, int port )
     : m_context( context ), m_ip( std::move( ip ) ), m_port( port ) {}
 
-void SidecarLink::wakeOpening() {
+void SidecarLink::wakeOpeningWaits() {
     for( auto* it : m_openingTimers ) {
         it->cancel();
     }
@@ -40,7 +40,7 @@
 
 void SidecarLink::setState( LinkState state ) {
     m_state = state;
-    wakeOpening();
+    wakeOpeningWaits();
 }
 
 void SidecarLink::transmit( std::string_view kind, std::string_view encoded ) {
@@ -249,7 +249,7 @@
     m_traffic.countMessage( Direction::in, kindOf( *message ), frame.size() );
     if( !m_messageReceived ) {
         m_messageReceived = true;
-        wakeOpening();
+        wakeOpeningWaits();
     }
     const auto* report = std::get_if<SidecarReport>( &*message );
     if( report != nullptr && m_handlers.report ) {
@@ -322,8 +322,8 @@
     while( m_state != LinkState::closed ) {
         net::Socket socket( m_context );
         net::ErrorCode ec;
-        const auto to = net::endpointOf( m_ip, m_port, ec );
-        ec = co_await net::connect( socket, to, connectLimit );
+        const auto endpoint = net::endpointOf( m_ip, m_port, ec );
+        ec = co_await net::connect( socket, endpoint, connectLimit );
         if( !ec && m_state != LinkState::closed ) {
             delay = firstRetryDelay;
             co_await serveConnection( std::move( socket ) );
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -114,7 +114,7 @@
     void transmit( const Message& message );
     void transmit( std::string_view kind, std::string_view encoded );
     void setState( LinkState state );
-    void wakeOpening();
+    void wakeOpeningWaits();
     void onFrame( std::string_view frame );
 
     net::asio::io_context& m_context;
--- a/src/gateway/store_objects.cpp
+++ b/src/gateway/store_objects.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-void ObjectReader::logUnreadable( const platform::StoreObject& object, std::string_view what,
+void ObjectReader::logUnreadable( const platform::StoreObject& object, std::string_view kind,
                                   const std::string& problem ) {
     const auto it = m_loggedRevisions.find( object.name );
     if( it != m_loggedRevisions.end() && it->second == object.revision ) {
@@ -26,7 +26,7 @@
         m_loggedRevisions.clear();
     }
     m_loggedRevisions[object.name] = object.revision;
-    log::error( "object_unreadable", { { "kind", what },
+    log::error( "object_unreadable", { { "kind", kind },
                                        { "name", object.name },
                                        { "revision", static_cast<std::int64_t>( object.revision ) },
                                        { "detail", problem.substr( 0, maxDetailLength ) } } );
--- a/src/gateway/store_objects.hpp
+++ b/src/gateway/store_objects.hpp
@@ -20,7 +20,7 @@
     std::optional<decide::Quarantine> quarantine( const platform::StoreObject& object );
 
 private:
-    void logUnreadable( const platform::StoreObject& object, std::string_view what,
+    void logUnreadable( const platform::StoreObject& object, std::string_view kind,
                         const std::string& problem );
 
     std::map<std::string, std::uint64_t> m_loggedRevisions; //!< logged revisions, by object name
