--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -8,41 +8,43 @@
 namespace {
 
 constexpr Millis connectLimit{ 500 };
-constexpr Millis retryPause{ 250 };
-constexpr Millis lastRetryPause{ 1000 };
-//! Sidecars speak every 500 ms; after three missed messages the connection is taken for dead.
-constexpr Millis silence{ 1500 };
-//! A sidecar that was not heard for this long is not asked: it speaks every 450 ms at the latest,
-//! and a question to one that stands still would cost a request half of its time.
-constexpr Millis askSilence{ 700 };
-//! How often a wait looks whether the sidecar still speaks.
-constexpr Millis silenceLook{ 200 };
-//! The sidecar answers when a question's limit is over: the way there and back, and two late loops.
-constexpr Millis answerDelay{ 60 };
-//! A sidecar that is reached speaks within some milliseconds; one that says nothing for so long
-//! can't be asked.
-constexpr Millis firstWord{ 250 };
-//! Messages kept until the connection is up.
-constexpr std::size_t mostQueued = 64;
+constexpr Millis firstRetryDelay{ 250 };
+constexpr Millis maxRetryDelay{ 1000 };
+//! Sidecars send a message every 500 ms; after three missed messages the connection counts as dead.
+constexpr Millis silenceLimit{ 1500 };
+//! Requests are not sent to a sidecar that has been silent for this long. A running sidecar sends a
+//! report every 450 ms at the latest, and waiting for one that hangs would cost a client's request
+//! half of its time.
+constexpr Millis requestSilenceLimit{ 700 };
+//! Interval at which a pending request checks whether the sidecar has fallen silent.
+constexpr Millis silenceCheckInterval{ 200 };
+//! The sidecar answers when a request's limit is over. Added to the limit, this covers the network
+//! round trip and a late event loop at both ends.
+constexpr Millis answerSlack{ 60 };
+//! A working sidecar sends its first message within some milliseconds of the connect; one that has
+//! sent nothing after this time counts as unreachable.
+constexpr Millis firstMessageLimit{ 250 };
+//! Largest number of messages queued while the link is connecting.
+constexpr std::size_t maxQueuedMessages = 64;
 
 } // namespace
 
 SidecarLink::SidecarLink( net::asio::io_context& context, std::string ip, int port )
     : m_context( context ), m_ip( std::move( ip ) ), m_port( port ) {}
 
-void SidecarLink::wakeOpening() {
-    for( auto* it : m_opening ) {
+void SidecarLink::wakeOpeningWaits() {
+    for( auto* it : m_openingTimers ) {
         it->cancel();
     }
 }
 
 void SidecarLink::setState( LinkState state ) {
     m_state = state;
-    wakeOpening();
+    wakeOpeningWaits();
 }
 
 void SidecarLink::transmit( std::string_view kind, std::string_view encoded ) {
-    m_traffic.note( Direction::out, kind, encoded.size() );
+    m_traffic.countMessage( Direction::out, kind, encoded.size() );
     m_channel->send( encoded );
 }
 
@@ -64,7 +66,7 @@
 
 void SidecarLink::close() {
     setState( LinkState::closed );
-    m_queued.clear();
+    m_queuedMessages.clear();
     if( m_channel ) {
         m_channel->close();
     }
@@ -83,39 +85,39 @@
 
 bool SidecarLink::reachabilityUnknown( MonoTime now ) const {
     if( up() ) {
-        return !m_heard && now - m_upAt < firstWord;
+        return !m_messageReceived && now - m_upAt < firstMessageLimit;
     }
     return m_state != LinkState::failing;
 }
 
 net::Task<bool> SidecarLink::waitUntilOpen( Millis limit ) {
-    const auto me = shared_from_this();
+    const auto self = shared_from_this();
     auto now = MonoClock::now();
     const auto until = now + limit;
-    m_usedAt = now;
+    m_lastUse = now;
     open();
     net::Timer timer( m_context );
     while( !m_stopped && now < until && reachabilityUnknown( now ) ) {
-        m_opening.insert( &timer );
-        timer.expires_at( std::min( until, now + firstWord ) );
+        m_openingTimers.insert( &timer );
+        timer.expires_at( std::min( until, now + firstMessageLimit ) );
         co_await timer.async_wait( net::tupled );
         now = MonoClock::now();
     }
-    m_opening.erase( &timer );
-    co_return up() && m_heard;
+    m_openingTimers.erase( &timer );
+    co_return up() && m_messageReceived;
 }
 
-void SidecarLink::announceEngine( EngineUpdate news, EncodedSpecPtr spec ) {
+void SidecarLink::announceEngine( EngineUpdate update, EncodedSpecPtr spec ) {
     m_spec = std::move( spec );
-    news.spec = m_spec ? m_spec->key : 0;
-    const Message message( std::move( news ) );
+    update.spec = m_spec ? m_spec->key : 0;
+    const Message message( std::move( update ) );
     auto encoded = encode( message );
-    if( encoded == m_news ) {
+    if( encoded == m_engineUpdate ) {
         return;
     }
-    m_news = std::move( encoded );
+    m_engineUpdate = std::move( encoded );
     if( up() ) {
-        transmit( "engine_news", m_news );
+        transmit( "engine_news", m_engineUpdate );
     }
 }
 
@@ -123,7 +125,7 @@
     if( !up() ) {
         return;
     }
-    if( MonoClock::now() - m_channel->lastReceivedAt() > silence ) {
+    if( MonoClock::now() - m_channel->lastReceivedAt() > silenceLimit ) {
         log::info( "sidecar_silent", { { "ip", m_ip } } );
         m_channel->close();
         return;
@@ -132,12 +134,12 @@
 }
 
 void SidecarLink::send( const Message& message ) {
-    m_usedAt = MonoClock::now();
+    m_lastUse = MonoClock::now();
     open();
     if( up() ) {
         transmit( message );
-    } else if( m_state == LinkState::connecting && m_queued.size() < mostQueued ) {
-        m_queued.push_back( message );
+    } else if( m_state == LinkState::connecting && m_queuedMessages.size() < maxQueuedMessages ) {
+        m_queuedMessages.push_back( message );
     }
 }
 
@@ -149,19 +151,19 @@
 }
 
 bool SidecarLink::isResponsive( MonoTime now ) const {
-    return up() && now - m_channel->lastReceivedAt() <= askSilence;
+    return up() && now - m_channel->lastReceivedAt() <= requestSilenceLimit;
 }
 
-net::Task<std::optional<Message>> SidecarLink::askFor( std::uint64_t number, Message question,
-                                                       MonoTime until ) {
-    const auto me = shared_from_this();
+net::Task<std::optional<Message>>
+SidecarLink::sendAndWait( std::uint64_t number, Message requestMessage, MonoTime until ) {
+    const auto self = shared_from_this();
     const auto waiter = std::make_shared<Waiter>( m_context );
     m_waiters.emplace( number, waiter );
-    m_usedAt = MonoClock::now();
-    transmit( question );
+    m_lastUse = MonoClock::now();
+    transmit( requestMessage );
     auto now = MonoClock::now();
     while( !waiter->ended && now < until && isResponsive( now ) ) {
-        waiter->timer.expires_after( std::min( silenceLook, remaining( now, until ) ) );
+        waiter->timer.expires_after( std::min( silenceCheckInterval, remaining( now, until ) ) );
         co_await waiter->timer.async_wait( net::tupled );
         now = MonoClock::now();
     }
@@ -171,15 +173,15 @@
 
 net::Task<EnsureAnswer> SidecarLink::ensure( EnsureRequest request ) {
     EnsureAnswer out;
-    const auto until = MonoClock::now() + Millis( request.limitMs ) + answerDelay;
+    const auto until = MonoClock::now() + Millis( request.limitMs ) + answerSlack;
     const bool reached = co_await waitUntilOpen( Millis( request.limitMs ) );
     if( !reached ) {
         co_return out;
     }
     const auto number = m_nextNumber++;
     request.number = number;
-    Message question( std::move( request ) );
-    const auto answer = co_await askFor( number, std::move( question ), until );
+    Message requestMessage( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( requestMessage ), until );
     if( !answer ) {
         cancel( number );
         out.number = number;
@@ -188,35 +190,35 @@
     co_return std::get<EnsureAnswer>( *answer );
 }
 
-template <typename Answer, typename Ask>
-net::Task<std::optional<Answer>> SidecarLink::askAs( Ask ask, Millis limit ) {
+template <typename Answer, typename Request>
+net::Task<std::optional<Answer>> SidecarLink::requestAs( Request request, Millis limit ) {
     const auto until = MonoClock::now() + limit;
     const bool reached = co_await waitUntilOpen( limit );
     if( !reached ) {
         co_return std::nullopt;
     }
     const auto number = m_nextNumber++;
-    ask.number = number;
-    Message question( std::move( ask ) );
-    const auto answer = co_await askFor( number, std::move( question ), until );
+    request.number = number;
+    Message requestMessage( std::move( request ) );
+    const auto answer = co_await sendAndWait( number, std::move( requestMessage ), until );
     if( !answer ) {
         co_return std::nullopt;
     }
     co_return std::get<Answer>( *answer );
 }
 
-net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::requestQuota( decide::QuotaRequest ask,
-                                                                         Millis limit ) {
-    return askAs<decide::QuotaAnswer>( std::move( ask ), limit );
+net::Task<std::optional<decide::QuotaAnswer>>
+SidecarLink::requestQuota( decide::QuotaRequest request, Millis limit ) {
+    return requestAs<decide::QuotaAnswer>( std::move( request ), limit );
 }
 
 net::Task<std::optional<decide::LimitAnswer>>
-SidecarLink::requestLimitPermit( decide::LimitRequest ask, Millis limit ) {
-    return askAs<decide::LimitAnswer>( std::move( ask ), limit );
+SidecarLink::requestLimitPermit( decide::LimitRequest request, Millis limit ) {
+    return requestAs<decide::LimitAnswer>( std::move( request ), limit );
 }
 
 void SidecarLink::cancel( std::uint64_t number ) {
-    // What it would end has ended with the connection.
+    // A lost connection has ended the request and its permit at the sidecar already.
     if( up() ) {
         transmit( Message( EnsureCancel{ number } ) );
     }
@@ -229,7 +231,7 @@
     }
 }
 
-void SidecarLink::takeAnswer( std::uint64_t number, Message answer ) {
+void SidecarLink::completeWaiter( std::uint64_t number, Message answer ) {
     const auto it = m_waiters.find( number );
     if( it != m_waiters.end() ) {
         it->second->answer = std::move( answer );
@@ -244,10 +246,10 @@
         log::warn( "sidecar_message_malformed", { { "ip", m_ip } } );
         return;
     }
-    m_traffic.note( Direction::in, kindOf( *message ), frame.size() );
-    if( !m_heard ) {
-        m_heard = true;
-        wakeOpening();
+    m_traffic.countMessage( Direction::in, kindOf( *message ), frame.size() );
+    if( !m_messageReceived ) {
+        m_messageReceived = true;
+        wakeOpeningWaits();
     }
     const auto* report = std::get_if<SidecarReport>( &*message );
     if( report != nullptr && m_handlers.report ) {
@@ -257,11 +259,11 @@
     if( load != nullptr && m_handlers.load ) {
         m_handlers.load( load->load );
     }
-    const auto* news = std::get_if<StoreUpdate>( &*message );
-    if( news != nullptr && m_handlers.news ) {
-        // What it tells may give this link other handlers while this one runs.
+    const auto* storeUpdate = std::get_if<StoreUpdate>( &*message );
+    if( storeUpdate != nullptr && m_handlers.news ) {
+        // The handler may replace this link's handlers while it runs, so a copy is called.
         const auto handler = m_handlers.news;
-        handler( *news );
+        handler( *storeUpdate );
     }
     const auto* quarantines = std::get_if<decide::QuarantineUpdate>( &*message );
     if( quarantines != nullptr && m_handlers.quarantines ) {
@@ -271,31 +273,31 @@
     if( limits != nullptr && m_handlers.limits ) {
         m_handlers.limits( *limits );
     }
-    const bool asksSpec = std::holds_alternative<SpecRequest>( *message );
-    if( asksSpec && m_spec ) {
+    const bool specRequested = std::holds_alternative<SpecRequest>( *message );
+    if( specRequested && m_spec ) {
         transmit( "spec", m_spec->message );
     }
     if( const auto* answer = std::get_if<EnsureAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
     if( const auto* answer = std::get_if<decide::QuotaAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
     if( const auto* answer = std::get_if<decide::LimitAnswer>( &*message ) ) {
-        takeAnswer( answer->number, *message );
+        completeWaiter( answer->number, *message );
     }
 }
 
 net::Task<> SidecarLink::serveConnection( net::Socket socket ) {
-    net::configureSocket( socket, silence );
+    net::configureSocket( socket, silenceLimit );
     log::info( "sidecar_connected", { { "ip", m_ip } } );
     m_channel =
         std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::client );
-    m_heard = false;
+    m_messageReceived = false;
     m_upAt = MonoClock::now();
     setState( LinkState::up );
-    if( !m_news.empty() ) {
-        transmit( "engine_news", m_news );
+    if( !m_engineUpdate.empty() ) {
+        transmit( "engine_news", m_engineUpdate );
     }
     if( m_handlers.connected ) {
         m_handlers.connected();
@@ -303,7 +305,7 @@
     if( m_relayWanted ) {
         requestRelay( true );
     }
-    for( const auto& it : std::exchange( m_queued, {} ) ) {
+    for( const auto& it : std::exchange( m_queuedMessages, {} ) ) {
         transmit( it );
     }
     net::FrameChannel::FrameHandler handler = [this]( std::string_view frame ) {
@@ -315,26 +317,26 @@
 }
 
 net::Task<> SidecarLink::keepConnected() {
-    const auto me = shared_from_this();
-    Millis delay = retryPause;
+    const auto self = shared_from_this();
+    Millis delay = firstRetryDelay;
     while( m_state != LinkState::closed ) {
         net::Socket socket( m_context );
         net::ErrorCode ec;
-        const auto to = net::endpointOf( m_ip, m_port, ec );
-        ec = co_await net::connect( socket, to, connectLimit );
+        const auto endpoint = net::endpointOf( m_ip, m_port, ec );
+        ec = co_await net::connect( socket, endpoint, connectLimit );
         if( !ec && m_state != LinkState::closed ) {
-            delay = retryPause;
+            delay = firstRetryDelay;
             co_await serveConnection( std::move( socket ) );
             log::info( m_state == LinkState::up ? "sidecar_lost" : "sidecar_left",
                        { { "ip", m_ip } } );
         }
-        // Closed meanwhile, and opened again: that is another start.
-        const bool anew = !ec && m_state == LinkState::connecting;
-        if( m_state != LinkState::closed && !anew ) {
+        // The link was closed and opened again meanwhile: reconnect at once, without a delay.
+        const bool reopened = !ec && m_state == LinkState::connecting;
+        if( m_state != LinkState::closed && !reopened ) {
             setState( LinkState::failing );
-            m_queued.clear();
+            m_queuedMessages.clear();
             co_await net::pause( m_context, delay );
-            delay = std::min( delay * 2, lastRetryPause );
+            delay = std::min( delay * 2, maxRetryDelay );
         }
     }
     m_running = false;
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -9,13 +9,14 @@
 
 namespace {
 
-//! Upstreams' entries change all the time; changes are taken in batches, since each watch call is
-//! paid for. The wait is this part of the time there is to stop sending to one that leaves.
-constexpr double batchPart = 0.4;
-//! After the store has come back from a copy its operators write again what the copy lacks, within
-//! seconds: until then a hall that was to be emptied stays empty. Without it 8 of 24 requests were
-//! sent into one.
-constexpr Millis rewriteTime{ 10000 };
+//! Pause between watch calls on upstreams, as a fraction of the drain bound, the time within which
+//! a gateway must stop sending to a leaving upstream. Entries of upstreams change all the time and
+//! each watch call costs money, so changes are received in batches.
+constexpr double batchPauseFraction = 0.4;
+//! After the store is restored from a copy, its operators write again within seconds what the copy
+//! lacks. Until then a hall under evacuation stays evacuated; otherwise requests (8 of 24 in one
+//! case) would be sent there.
+constexpr Millis rewriteAfterRestore{ 10000 };
 
 FollowerSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
                                  metrics::Metrics& metrics ) {
@@ -29,7 +30,7 @@
 FollowerSettings upstreamSettings( const platform::NodeSettings& settings,
                                    metrics::Metrics& metrics ) {
     auto out = followSettings( settings, platform::upstreamKind, metrics );
-    out.pause = partOf( settings.bounds.drain, batchPart );
+    out.pause = fractionOf( settings.bounds.drain, batchPauseFraction );
     return out;
 }
 
@@ -54,22 +55,22 @@
       m_store( context, settings.store, &metrics ) {}
 
 void StoreFeed::start() {
-    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& news ) {
-        takeNews( upstreamId, news );
+    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& update ) {
+        applyUpdate( upstreamId, update );
     } );
-    net::start( m_context, begin(), "store feed" );
+    net::start( m_context, startFollowing(), "store feed" );
 }
 
 FollowerHandlers StoreFeed::configurationHandlers() {
     FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
-            takeObject( it );
+            applyConfiguration( it );
         }
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         if( !event.removed ) {
-            takeObject( event.object );
+            applyConfiguration( event.object );
         }
     };
     out.reachable = []( bool ) {
@@ -77,7 +78,7 @@
     return out;
 }
 
-void StoreFeed::takeObject( const platform::StoreObject& object ) const {
+void StoreFeed::applyConfiguration( const platform::StoreObject& object ) const {
     if( object.name == platform::configurationName ) {
         m_handlers.configuration( object.spec );
     }
@@ -87,12 +88,12 @@
     FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
-            takeQuarantine( it );
+            applyQuarantine( it );
         }
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         if( !event.removed ) {
-            takeQuarantine( event.object );
+            applyQuarantine( event.object );
         }
     };
     out.reachable = []( bool ) {
@@ -107,37 +108,37 @@
         for( const auto& it : objects ) {
             halls.insert( it.name );
         }
-        takeEvacuations( std::move( halls ), MonoClock::now() );
+        applyEvacuations( std::move( halls ), MonoClock::now() );
     };
     out.event = [this]( const platform::StoreEvent& event ) {
-        takeEvacuation( event.object.name, !event.removed );
+        applyEvacuation( event.object.name, !event.removed );
     };
     out.reachable = []( bool ) {
     };
     out.restored = [this] {
-        m_heldHalls.insert( m_emptied.begin(), m_emptied.end() );
-        m_heldUntil = MonoClock::now() + rewriteTime;
+        m_heldHalls.insert( m_evacuatedHalls.begin(), m_evacuatedHalls.end() );
+        m_heldUntil = MonoClock::now() + rewriteAfterRestore;
     };
     return out;
 }
 
-void StoreFeed::takeEvacuations( std::set<std::string> halls, MonoTime now ) {
-    m_emptied = std::move( halls );
+void StoreFeed::applyEvacuations( std::set<std::string> halls, MonoTime now ) {
+    m_evacuatedHalls = std::move( halls );
     if( now >= m_heldUntil ) {
         m_heldHalls.clear();
     }
     auto all = m_heldHalls;
-    all.insert( m_emptied.begin(), m_emptied.end() );
+    all.insert( m_evacuatedHalls.begin(), m_evacuatedHalls.end() );
     m_handlers.evacuations( all );
 }
 
-void StoreFeed::takeEvacuation( const std::string& hall, bool emptied ) {
-    // Written again, or taken back, in the history that goes on.
+void StoreFeed::applyEvacuation( const std::string& hall, bool emptied ) {
+    // The evacuation was written again, or ended, after the restore.
     m_heldHalls.erase( hall );
     if( emptied ) {
-        m_emptied.insert( hall );
+        m_evacuatedHalls.insert( hall );
     } else {
-        m_emptied.erase( hall );
+        m_evacuatedHalls.erase( hall );
     }
     m_handlers.evacuation( hall, emptied );
 }
@@ -148,23 +149,23 @@
     }
     log::info( "evacuations_not_written_again",
                { { "halls", static_cast<std::int64_t>( m_heldHalls.size() ) } } );
-    takeEvacuations( m_emptied, now );
+    applyEvacuations( m_evacuatedHalls, now );
 }
 
-void StoreFeed::takeEvacuations( const StoreUpdate& news ) {
-    if( news.whole ) {
-        takeEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
+void StoreFeed::applyEvacuations( const StoreUpdate& update ) {
+    if( update.whole ) {
+        applyEvacuations( { update.emptied.begin(), update.emptied.end() }, MonoClock::now() );
         return;
     }
-    for( const auto& it : news.emptied ) {
-        takeEvacuation( it, true );
+    for( const auto& it : update.emptied ) {
+        applyEvacuation( it, true );
     }
-    for( const auto& it : news.gone ) {
-        takeEvacuation( it, false );
+    for( const auto& it : update.gone ) {
+        applyEvacuation( it, false );
     }
 }
 
-void StoreFeed::takeQuarantine( const platform::StoreObject& object ) {
+void StoreFeed::applyQuarantine( const platform::StoreObject& object ) {
     const auto quarantine = m_reader.quarantine( object );
     if( quarantine && quarantine->holdMs > 0 ) {
         m_handlers.quarantines( std::span( &*quarantine, 1 ) );
@@ -180,7 +181,7 @@
                 upstreams.push_back( std::move( *upstream ) );
             }
         }
-        takeListing( std::move( upstreams ) );
+        applyUpstreamListing( std::move( upstreams ) );
     };
     out.event = [this]( const platform::StoreEvent& event ) {
         const auto now = MonoClock::now();
@@ -188,7 +189,7 @@
         if( upstream ) {
             m_registry.put( std::move( *upstream ), now );
         } else {
-            // Gone, or written over by somebody with what names no upstream.
+            // The entry was removed, or overwritten with something that is no valid upstream.
             m_registry.remove( event.object.name, now );
         }
         m_handlers.upstreams();
@@ -202,73 +203,73 @@
     return out;
 }
 
-void StoreFeed::takeListing( std::vector<Upstream> upstreams ) {
-    m_listed = true;
+void StoreFeed::applyUpstreamListing( std::vector<Upstream> upstreams ) {
+    m_upstreamsListed = true;
     m_registry.applyListing( std::move( upstreams ), MonoClock::now() );
     m_handlers.upstreams();
 }
 
-void StoreFeed::takeNews( const std::string& upstreamId, const StoreUpdate& news ) {
+void StoreFeed::applyUpdate( const std::string& upstreamId, const StoreUpdate& update ) {
     if( upstreamId != m_relay ) {
         return;
     }
     const auto now = MonoClock::now();
-    if( !news.reachable ) {
-        leaveRelay( "without the store", Millis{ 0 }, now );
+    if( !update.reachable ) {
+        dropRelay( "without the store", Millis{ 0 }, now );
         return;
     }
-    if( news.whole ) {
-        m_relayed.insert( news.part );
+    if( update.whole ) {
+        m_receivedParts.insert( update.part );
     }
-    if( news.part == StorePart::upstreams ) {
-        m_relayHeard = now;
-        takeUpstreams( news );
+    if( update.part == StorePart::upstreams ) {
+        m_lastRelayMessage = now;
+        applyUpstreams( update );
         return;
     }
-    // A relay that lives tells of a store that does not answer: what changes seldom needs no clock
-    // of its own.
+    // A live relay reports a store that doesn't answer, and its silence shows in the messages on
+    // upstreams, so parts that rarely change need no time limit of their own.
     const auto until = MonoTime::max();
-    if( news.part == StorePart::quarantines ) {
-        if( m_quarantines.acceptRelayed( news.position, news.whole, until ) ) {
-            m_handlers.quarantines( news.quarantines );
+    if( update.part == StorePart::quarantines ) {
+        if( m_quarantines.acceptRelayed( update.position, update.whole, until ) ) {
+            m_handlers.quarantines( update.quarantines );
         }
         return;
     }
-    if( news.part == StorePart::evacuations ) {
-        if( m_evacuations.acceptRelayed( news.position, news.whole, until ) ) {
-            takeEvacuations( news );
+    if( update.part == StorePart::evacuations ) {
+        if( m_evacuations.acceptRelayed( update.position, update.whole, until ) ) {
+            applyEvacuations( update );
         }
         return;
     }
-    if( m_configuration.acceptRelayed( news.position, news.whole, until ) &&
-        !news.configuration.empty() ) {
-        m_handlers.configuration( news.configuration );
+    if( m_configuration.acceptRelayed( update.position, update.whole, until ) &&
+        !update.configuration.empty() ) {
+        m_handlers.configuration( update.configuration );
     }
 }
 
-void StoreFeed::takeUpstreams( const StoreUpdate& news ) {
-    if( !news.whole && !m_gotWhole ) {
+void StoreFeed::applyUpstreams( const StoreUpdate& update ) {
+    if( !update.whole && !m_upstreamsReceived ) {
         return;
     }
-    m_gotWhole = true;
+    m_upstreamsReceived = true;
     const auto now = MonoClock::now();
     const auto until = now + relaySilenceLimit( m_settings.bounds );
-    // Changes that were dropped here, because this gateway knew them, are no gap: later ones build
-    // on what it knows.
-    if( !m_upstreams.acceptRelayed( news.position, news.whole, until ) ) {
+    // Changes that are dropped because this gateway knows them already leave no gap: later changes
+    // follow on what it knows.
+    if( !m_upstreams.acceptRelayed( update.position, update.whole, until ) ) {
         return;
     }
-    if( news.whole ) {
-        takeListing( news.upstreams );
+    if( update.whole ) {
+        applyUpstreamListing( update.upstreams );
         return;
     }
-    for( const auto& it : news.upstreams ) {
+    for( const auto& it : update.upstreams ) {
         m_registry.put( it, now );
     }
-    for( const auto& it : news.gone ) {
+    for( const auto& it : update.gone ) {
         m_registry.remove( it, now );
     }
-    if( !news.upstreams.empty() || !news.gone.empty() ) {
+    if( !update.upstreams.empty() || !update.gone.empty() ) {
         m_handlers.upstreams();
     }
 }
