--- a/src/net/frame_channel.cpp
+++ b/src/net/frame_channel.cpp
@@ -15,16 +15,17 @@
 namespace {
 
 constexpr std::size_t readBytes = 16U << 10U;
-//! Buffers that have grown beyond this are given back once they are empty: most connections are
-//! silent most of the time.
+//! Empty buffers with a larger capacity are freed, because most connections are idle most of the
+//! time.
 constexpr std::size_t keptBytes = 1U << 10U;
-//! Bytes queued for a peer that does not read, before it is dropped.
+//! Bytes that may be queued for a peer that does not read, before it is disconnected.
 constexpr std::size_t outboxLimit = 4U << 20U;
-//! Both windows are opened wide: the outbox limit bounds what a slow peer costs.
+//! HTTP/2 flow-control window of the stream and the connection. It is large because outboxLimit
+//! already bounds the memory that a slow peer takes.
 constexpr std::int32_t windowBytes = 8 << 20;
 
 nghttp2_nv header( std::string_view name, std::string_view value ) {
-    // nghttp2 copies names and values unless told otherwise; it never writes through them.
+    // nghttp2 copies names and values unless a flag says otherwise, and never writes to them.
     auto* nameBytes = reinterpret_cast<std::uint8_t*>( const_cast<char*>( name.data() ) );
     auto* valueBytes = reinterpret_cast<std::uint8_t*>( const_cast<char*>( value.data() ) );
     return { nameBytes, valueBytes, name.size(), value.size(), NGHTTP2_NV_FLAG_NONE };
@@ -36,8 +37,8 @@
     }
 }
 
-//! What is read is handed on before anything else is read: one buffer serves all connections of a
-//! thread.
+//! One buffer for all connections of a thread: the bytes of one read are processed before the next
+//! read.
 std::span<std::uint8_t> readBuffer() {
     static thread_local std::array<std::uint8_t, readBytes> buf;
     return buf;
--- a/src/net/frame_channel.hpp
+++ b/src/net/frame_channel.hpp
@@ -14,13 +14,13 @@
 
 namespace coursehead::net {
 
-//! Which end of the TCP connection this is.
+//! Role of this process on the TCP connection.
 enum class ChannelSide { client, server };
 
 /**
- * Frames both ways between two of our processes: one HTTP/2 stream (nghttp2) on one connection,
- * on the event loop. Sending never waits; a peer that does not read is dropped once too much is
- * queued for it.
+ * Exchanges frames with another coursehead process over one HTTP/2 stream (nghttp2) on one TCP
+ * connection, on the event loop. send() never blocks; a peer that does not read is disconnected
+ * when too much is queued for it.
  */
 class FrameChannel : public std::enable_shared_from_this<FrameChannel> {
 public:
@@ -31,13 +31,13 @@
     FrameChannel( const FrameChannel& ) = delete;
     FrameChannel& operator=( const FrameChannel& ) = delete;
 
-    //! Reads until the connection ends; hands each frame over.
+    //! Reads until the connection ends, and passes each frame to `handler`.
     Task<> run( FrameHandler handler );
-    //! Queues a frame.
+    //! Queues a frame; closes the connection when the peer has fallen too far behind.
     void send( std::string_view message );
     void close();
     bool open() const { return m_socket.is_open(); }
-    //! When bytes came last.
+    //! When bytes were last received.
     MonoTime lastHeard() const noexcept { return m_lastHeard; }
 
 private:
@@ -57,7 +57,7 @@
     std::string m_outbox;  //!< frames that nghttp2 has not taken yet
     std::string m_sending; //!< bytes that the socket is writing
     bool m_writing = false;
-    bool m_receiving = false; //!< nghttp2 must not be asked for output from its callbacks
+    bool m_receiving = false; //!< nghttp2 must not be asked for output inside its callbacks
     peer::FrameReader m_reader;
     FrameHandler m_handler;
     MonoTime m_lastHeard;
--- a/src/net/json_client.cpp
+++ b/src/net/json_client.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-//! Bytes of an answer that are taken; a full configuration is well below a megabyte.
+//! Largest response body that is accepted; a full configuration is well below a megabyte.
 constexpr std::uint64_t maxAnswerBytes = 16U << 20U;
 constexpr Millis connectLimit{ 1000 };
 
--- a/src/net/json_client.hpp
+++ b/src/net/json_client.hpp
@@ -14,35 +14,35 @@
 
 namespace coursehead::net {
 
-//! One call with a JSON body, or none.
+//! A call with a JSON body, or without a body.
 struct JsonCall {
     std::string method = "GET";
     std::string target;
     std::string body;
     std::vector<std::pair<std::string, std::string>> headers;
     Millis limit{ 1000 };    //!< for the whole call
-    std::string wantedField; //!< name of a field of the answer to hand over
+    std::string wantedField; //!< name of a response header to return; empty: none
 };
 
 enum class CallEnd {
-    answered, //!< `status` and `body` hold the answer
-    notSent,  //!< no connection: nothing happened
-    unknown,  //!< cut or timed out: it may have taken effect
+    answered, //!< `status` and `body` hold the response
+    notSent,  //!< no connection: the call had no effect
+    unknown,  //!< connection lost or timed out: the call may have taken effect
 };
 
 struct JsonAnswer {
     CallEnd end = CallEnd::notSent;
     unsigned status = 0;
     std::string body;
-    std::string wantedField; //!< value of the field that the call asked for
+    std::string wantedField; //!< value of the header that the call named
 };
 
-//! Calls to one HTTP server, one at a time, on a connection that is kept.
+//! Client of one HTTP server; makes one call at a time, on a persistent connection.
 class JsonClient {
 public:
     JsonClient( asio::io_context& context, std::string ip, int port );
 
-    //! Makes a call. A call without effects is sent again once if a kept connection turns out dead.
+    //! Makes a call. A GET that fails on a reused connection is sent once more within its limit.
     Task<JsonAnswer> call( const JsonCall& call );
 
 private:
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-//! Connections that wait to be accepted: a full queue drops the opening packet for seconds.
+//! Connections that may wait to be accepted. A full queue drops the client's SYN, which delays the
+//! connection by seconds.
 constexpr int backlog = 1024;
 
 } // namespace
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -14,10 +14,10 @@
 #include <memory>
 #include <string>
 
-//! Sockets of the event loop that all network traffic of the platform's roles runs on.
+//! Sockets and tasks of the event loop that carries all network traffic of the platform's roles.
 //!
-//! g++ 12 destroys temporaries in the arguments of a co_await expression twice: every argument
-//! with a destructor is named before it is passed.
+//! g++ 12 destroys temporaries in the arguments of a co_await expression twice, so every argument
+//! with a destructor is stored in a named variable before it is passed.
 namespace coursehead::net {
 
 namespace asio = boost::asio;
@@ -27,7 +27,7 @@
 template <typename T = void>
 using Task = asio::awaitable<T>;
 
-//! Completion token that gives errors as values.
+//! Completion token that returns errors as values instead of throwing them.
 inline constexpr auto tupled = asio::as_tuple( asio::use_awaitable );
 
 using Socket = asio::basic_stream_socket<tcp, asio::io_context::executor_type>;
@@ -35,23 +35,23 @@
 using Timer = asio::basic_waitable_timer<MonoClock, asio::wait_traits<MonoClock>,
                                          asio::io_context::executor_type>;
 
-//! Turns Nagle off, and gives a peer up that has not acknowledged bytes for `silence`.
+//! Disables Nagle's algorithm, and drops a peer that has not acknowledged sent bytes for `silence`.
 void tune( Socket& socket, Millis silence );
-//! Closing the connection from now on resets it: bytes that have not reached the other side are
-//! lost with it, and what it has read already it learns not to answer.
+//! Makes close() reset the connection from now on. Bytes that have not reached the peer are
+//! discarded, and the peer learns that an answer to those it has read is no longer wanted.
 void resetOnClose( Socket& socket );
 
-//! An endpoint of an IP number; the error in `ec`.
+//! The endpoint of an IPv4 address in text; sets `ec` when the address is malformed.
 tcp::endpoint endpointOf( const std::string& ip, int port, ErrorCode& ec );
 
-//! What a deadline does to its socket.
+//! What a SocketDeadline does when it expires.
 enum class WhenDue {
-    close,  //!< nothing more goes either way
-    cancel, //!< only what waits is ended
+    close,  //!< closes the socket
+    cancel, //!< cancels pending operations; the socket stays open
 };
 
-//! Ends what waits on a socket when time is up, unless it is destroyed or cancelled before. The
-//! socket must outlive it.
+//! Ends the pending operations of a socket at a given time, unless it is destroyed or cancelled
+//! before. The socket must outlive it.
 class SocketDeadline {
 public:
     SocketDeadline( Socket& socket, MonoTime at, WhenDue action = WhenDue::close );
@@ -66,19 +66,19 @@
     enum class State { waiting, cancelled, expired };
 
     Timer m_timer;
-    std::shared_ptr<State> m_state; //!< shared with a handler that may run late
+    std::shared_ptr<State> m_state; //!< shared with the handler, which may outlive this object
 };
 
-//! Connects within `limit`.
+//! Connects within `limit`; asio::error::timed_out after that.
 Task<ErrorCode> connect( Socket& socket, tcp::endpoint to, Millis limit );
 
-//! Waits on the loop.
+//! Suspends the task for `delay`.
 Task<> pause( asio::io_context& context, Millis delay );
 
-//! Listens with a long backlog; throws boost::system::system_error when it can't.
+//! Opens a listening socket with a long backlog; throws boost::system::system_error on failure.
 Acceptor listen( asio::io_context& context, const std::string& ip, int port );
 
-//! Starts a task that nobody waits for; an exception that leaves it is logged under `name`.
+//! Starts a detached task. An exception that leaves it is logged under `name`.
 void start( asio::io_context& context, Task<> task, const char* name );
 
 } // namespace coursehead::net
--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -11,9 +11,10 @@
 
 using gateway::EnsureOutcome;
 
-// Parts of the gap target, for pauses between events while prompts are read: below the first
-// reading is not limited, above the second it is again. What is seen is mostly short prompts, and
-// long ones add more: with 0.75 a loaded day lost 4 in 100 of its worth (one score each).
+// Parts of the gap target, for the pauses between events while prompts are read: up to the first,
+// prompt reading is not limited; above the second it is limited again. The pauses are measured
+// mostly with short prompts, and long prompts lengthen them further: an upper part of 0.75 let
+// streams miss the gap target, and a loaded day lost 4% of its score.
 constexpr double freePart = 0.5;
 constexpr double limitPart = 0.65;
 
@@ -28,7 +29,8 @@
     limitReading();
 }
 
-//! Prompts leave the streams a part of the engine's time, unless these are in time without.
+//! Limits prompt reading to a part of the engine's time, so that streams meet their gap target.
+//! Lifts the limit while streams meet it without.
 void Admission::limitReading() {
     const auto pause = m_eventPace.whileReading();
     const auto longest = m_gapTarget * ( m_readsFreely ? limitPart : freePart );
@@ -64,7 +66,7 @@
     letThrough();
 }
 
-//! Gives leave to the prompts whose time has come, and waits for the next one.
+//! Admits the prompts that are due, and sets the timer for the next one.
 void Admission::letThrough() {
     const auto now = MonoClock::now();
     for( const auto& leave : m_gate.takeDue( now ) ) {
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -15,39 +15,41 @@
 
 namespace coursehead::sidecar {
 
-//! Questions whose model and adapter are there, until their prompts may be sent: the prompt gate
-//! with a timer and the answers.
+//! Holds ensure requests whose model and adapter are resident until their prompts may be sent to
+//! the engine, and answers them. Drives the prompt gate with a timer.
 class Admission {
 public:
-    //! What the sidecar does for it.
+    //! Functions that the sidecar provides.
     struct Host {
         std::function<bool( const Want& want )> isThere;
         std::function<void( const Question& question, gateway::EnsureOutcome outcome, Millis wait,
                             double workMs )>
             answer;
-        std::function<void( Question question )> missing;      //!< what it needs has made way
-        std::function<void( const Question& question )> given; //!< it gets leave now
+        std::function<void( Question question )> missing; //!< its model or adapter was unloaded
+        std::function<void( const Question& question )> given; //!< its prompt is admitted now
     };
 
     Admission( net::asio::io_context& context, Host host );
 
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
-    //! What a gateway knows of the engine's coldness, and what it is sent meanwhile.
+    //! Takes from a gateway how long the engine stays cold, and how many prompts a second it may be
+    //! sent until then.
     void noteCold( Millis left, double perS, MonoTime now ) {
         m_cold.noteCold( left, now );
         m_coldPerS = perS;
     }
-    //! Queues a question's prompt, or answers at once.
+    //! Queues the prompt of an ensure request, or answers the request at once.
     void admit( Question question );
-    //! What the engine's report says of its prompts and streams.
+    //! Updates the estimates from the prompts and streams in the engine's report.
     void takeReport( const gateway::EngineReport& report, MonoTime now );
-    //! A gateway has no use for the answer, or for the leave that it was given.
+    //! A gateway has cancelled its ensure request, or does not use the permit that it was given.
     void forget( std::uint64_t key );
-    //! A gateway has gone.
+    //! Cancels all ensure requests of a gateway that has disconnected.
     void forgetPeer( const Peer& peer );
-    //! The engine is lost or another one: nothing that waits or was sent reaches it.
+    //! Answers all waiting ensure requests as failed: the engine is unreachable or has restarted,
+    //! so neither queued prompts nor those sent before reach it.
     void failAll();
-    //! The engine has dropped a model.
+    //! The engine has unloaded a model.
     void dropModel( const std::string& model ) { m_gate.dropModel( model ); }
 
     Millis usualWait( MonoTime now ) const { return m_gate.usualWait( now ); }
@@ -63,10 +65,10 @@
     decide::EventPace m_eventPace;
     std::map<std::uint64_t, Question> m_waiting; //!< by key
     decide::ColdGate m_cold;
-    double m_coldPerS = 0; //!< prompts a second while it is cold; 0: no rule
+    double m_coldPerS = 0; //!< prompts a second while the engine is cold; 0: no limit
     std::int64_t m_cacheTokens = 0;
     Millis m_gapTarget{ 0 };
-    bool m_readsFreely = false; //!< streams are in time however much is read
+    bool m_readsFreely = false; //!< reading is not limited: streams meet the gap target anyway
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-//! The engine stands on the same VM: one that takes longer is stopped or gone.
+//! The engine runs on the same VM, so one that takes longer to answer is stopped or gone.
 constexpr Millis reportLimit{ 300 };
 constexpr Millis orderLimit{ 400 };
 constexpr unsigned statusOk = 200;
--- a/src/sidecar/engine_client.hpp
+++ b/src/sidecar/engine_client.hpp
@@ -10,20 +10,20 @@
 
 namespace coursehead::sidecar {
 
-//! Calls to the engine on this VM, one at a time.
+//! Client of the engine on this VM; makes one call at a time.
 class EngineClient {
 public:
     EngineClient( net::asio::io_context& context, const platform::Endpoint& engine )
         : m_http( context, engine.ip, engine.port ) {}
 
-    //! The engine's report of itself; nullopt when it does not answer.
+    //! Requests the engine's report; nullopt when the engine does not answer.
     net::Task<std::optional<gateway::EngineReport>> report();
-    //! How an order was taken.
+    //! The engine's answer to an order.
     struct Given {
         platform::OrderVerdict verdict = platform::OrderVerdict::unknown;
-        std::string actualUpstream; //!< with `moved`: the engine's present start, when it says so
+        std::string actualUpstream; //!< with `moved`: id of the engine's present start, if given
     };
-    //! Gives an order that only the named start of the engine takes.
+    //! Sends an order that only the named start of the engine accepts.
     net::Task<Given> give( platform::Order order, std::string upstreamId );
 
 private:
--- a/src/sidecar/engine_view.cpp
+++ b/src/sidecar/engine_view.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-//! Over which requests that were let in are counted: models that are asked for now and then are
-//! asked for each few seconds.
+//! Time over which admitted requests are counted. Models in occasional use are requested every few
+//! seconds.
 constexpr Millis useMemory{ 8000 };
-//! Reading is counted as gateways smooth what they ask for.
+//! Time over which prompt reading is counted; gateways smooth the demand that they report alike.
 constexpr Millis workMemory{ 2000 };
 
 bool holds( const gateway::EngineReport& report, std::string_view model ) {
--- a/src/sidecar/engine_view.hpp
+++ b/src/sidecar/engine_view.hpp
@@ -15,52 +15,53 @@
 
 namespace coursehead::sidecar {
 
-//! What a sidecar knows of its engine: what it is built like, its last report, what was ordered
-//! since, and how much gateways use what it holds.
+//! What a sidecar knows of its engine: its specification, its last report, the unloads ordered
+//! since, and how much gateways use its models and adapters.
 class EngineView {
 public:
-    //! `peers` are the connected gateways; they outlive this.
+    //! `peers` are the connected gateways; the set must outlive this object.
     explicit EngineView( const std::set<PeerPtr>& peers ) : m_peers( peers ) {}
 
     void setSpec( gateway::EngineSpec spec ) { m_spec = std::move( spec ); }
     const std::optional<gateway::EngineSpec>& spec() const noexcept { return m_spec; }
 
-    //! What a new report shows beside its contents.
+    //! What has changed between the last report and a new one.
     struct News {
-        std::vector<std::string> dropped; //!< models that are no longer there
-        bool startedEmpty = false;        //!< the first report, and the engine holds nothing
-        bool restarted = false;           //!< it is another start, under the same id or not
-        //! What the engine held before it came back empty.
+        std::vector<std::string> dropped; //!< models that are no longer resident
+        bool startedEmpty = false;        //!< this is the first report, and no model is resident
+        bool restarted = false; //!< the engine has restarted, under the same id or another
+        //! Models that the engine held before it restarted empty.
         std::vector<decide::FormerModel> lost;
     };
     News take( gateway::EngineReport report, MonoTime now );
     const gateway::EngineReport& report() const noexcept { return m_report; }
 
-    //! How much all gateways use a model, by what those that are connected ask for anywhere. Where
-    //! only some are, it is what is let in here, at each of its copies.
+    //! Use of a model by all gateways: the sum of the fleet-wide demand that the connected gateways
+    //! report. While only some gateways are connected, it is at least the rate admitted here times
+    //! the number of the model's copies.
     Use useOf( const std::string& model, MonoTime now ) const;
-    //! Reading of a model's prompts that all gateways ask for, in milliseconds a second.
+    //! Prompt reading that all gateways demand of a model, in milliseconds a second.
     double workPerS( const std::string& model, MonoTime now ) const;
-    //! What a decision on the next order rests on. Needs the spec.
+    //! Input for the choice of the next order. spec() must be set.
     Holdings holdings( MonoTime now ) const;
     bool isThere( const Want& want, MonoTime now ) const;
     bool hasWeights( std::string_view model ) const;
 
     void noteUse( const Want& want, MonoTime now );
-    //! A request for a model is let in, whose prompt takes this long to read.
+    //! Counts a request that is admitted for a model, and the reading time of its prompt.
     void noteLetIn( const std::string& model, double workMs, MonoTime now );
     void noteDemand( const gateway::DemandNews& news, MonoTime now );
-    //! An unload was ordered, and may be carried out.
+    //! Records an unload order that the engine may carry out.
     void noteUnload( const Step& step, MonoTime now );
-    //! The model that gateways are told is no longer here; empty: none. True when it is another.
+    //! Sets the model that gateways are no longer offered; empty: none. True when it has changed.
     bool setRetiring( const std::string& model, MonoTime now );
-    //! What requests may still be sent for.
+    //! Models and adapters that requests may still be sent for.
     std::vector<gateway::Resident> offered() const;
 
 private:
-    //! True when most of the gateways that are about are connected.
+    //! True when most of the running gateways are connected to this sidecar.
     bool hearsAll() const;
-    //! Nothing that was ordered of, or used at, the engine's earlier start holds.
+    //! Discards the unloads and the use recorded for the engine's earlier start.
     void forgetStart();
 
     const std::set<PeerPtr>& m_peers;
@@ -69,11 +70,11 @@
     bool m_reported = false; //!< the engine has reported once
     std::vector<decide::FormerModel> m_lastHeld;
     std::map<std::string, MonoTime> m_loadedAt;
-    std::map<std::string, decide::SmoothedRate> m_letIn;     //!< requests, by model
-    std::map<std::string, decide::SmoothedRate> m_letInWork; //!< reading in milliseconds, likewise
+    std::map<std::string, decide::SmoothedRate> m_letIn;     //!< admitted requests, by model
+    std::map<std::string, decide::SmoothedRate> m_letInWork; //!< reading in ms, by model
     std::map<std::string, Use, std::less<>> m_adapterUses;
-    std::vector<Unloading> m_unloads; //!< ordered, and not yet known to be done
-    std::string m_retiring;           //!< model that is about to make way, or empty
+    std::vector<Unloading> m_unloads; //!< ordered and not yet known to be complete
+    std::string m_retiring; //!< model to be unloaded once its requests have ended; or empty
     MonoTime m_retiringSince;
 };
 
--- a/src/sidecar/orders.cpp
+++ b/src/sidecar/orders.cpp
@@ -17,18 +17,20 @@
 
 using gateway::EnsureOutcome;
 
-//! A want without room is answered after this, so that the request can go elsewhere.
+//! An ensure request that the engine has no capacity for is answered after this time, so that the
+//! gateway can try another engine.
 constexpr Millis roomLimit{ 400 };
-//! An adapter loads within some ten milliseconds; where it takes longer another engine is asked.
+//! An adapter loads within some ten milliseconds; after this time the gateway should try another
+//! engine.
 constexpr Millis adapterLimit{ 500 };
-//! Earlier starts of the engine that are remembered.
+//! Number of earlier engine starts that are kept.
 constexpr std::size_t maxFormer = 4;
 constexpr Millis storeLimit{ 1000 };
 constexpr Millis storeRetry{ 300 };
-//! A kind of the project's own without objects: listing it reads the store's revision.
+//! A kind of this project that has no objects; listing it only reads the store's revision.
 constexpr std::string_view fenceKind = "fences";
 
-//! The answer that a want gets now, if it gets one.
+//! The answer to an ensure request; nullopt while it should keep waiting.
 std::optional<EnsureOutcome> outcomeOf( StepKind step, Millis waited, Millis limit ) {
     switch( step ) {
     case StepKind::ready:
@@ -65,7 +67,7 @@
 
 void Orders::start() {
     if( m_settings.firstStart ) {
-        // No earlier life has given orders: nothing has to be read to be above its token.
+        // No earlier start of this sidecar has sent orders, so there is no token to exceed.
         m_fence = decide::firstFence;
         log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fence ) } } );
         return;
@@ -73,7 +75,8 @@
     net::start( m_context, obtainFence(), "fence" );
 }
 
-//! A number that only rises over this VM's lives, and that no other VM is given for an engine.
+//! Obtains the fencing token from the store: a number that only rises across the restarts of this
+//! VM, and that no other VM is given for an engine.
 net::Task<> Orders::obtainFence() {
     platform::StoreClient store( m_context, m_settings.store, &m_metrics );
     for( ;; ) {
@@ -126,8 +129,9 @@
     net::start( m_context, readFormer(), "recall" );
 }
 
-//! After a loss of power the store's list still names what engines held before; a copy of it that
-//! is seconds old does so longest.
+//! Reads from the store's list what this VM's engine held, and how many copies of each model
+//! engines held, before a power loss. A list that is seconds old names the former contents for
+//! longest.
 net::Task<> Orders::readFormer() {
     platform::StoreClient store( m_context, m_settings.store, &m_metrics );
     const auto result =
@@ -157,7 +161,7 @@
                { { "models", static_cast<std::int64_t>( mine.size() ) }, { "from", "store" } } );
 }
 
-//! A load of what the engine held before it started anew; only into free room.
+//! Next load of a model that the engine held before it restarted; only into free capacity.
 std::optional<Step> Orders::recallStep( const Holdings& held, MonoTime now ) {
     const auto isNear = [this]( std::string_view model ) {
         return m_view.hasWeights( model );
@@ -196,7 +200,7 @@
             retire = step.model;
         }
         const bool orders = step.kind == StepKind::load || step.kind == StepKind::unload;
-        // Adapters first: they take milliseconds.
+        // Adapters go first: they load within milliseconds.
         if( orders && ( !order || ( order->adapter.empty() && !step.adapter.empty() ) ) ) {
             order = step;
             upstreamId = it->upstreamId;
@@ -250,7 +254,8 @@
                           { "verdict", platform::nameOf( verdict ) } } );
 }
 
-//! The engine has restarted: what waits for its former start never comes.
+//! Handles an order refused because the engine has restarted: records its former start, and fails
+//! the ensure requests that wait for it.
 void Orders::noteMoved( const std::string& meant, const std::string& actual ) {
     log::info( "engine_restarted", { { "before", meant }, { "now", actual } } );
     if( !actual.empty() ) {
--- a/src/sidecar/orders.hpp
+++ b/src/sidecar/orders.hpp
@@ -16,45 +16,47 @@
 namespace coursehead::sidecar {
 
 /**
- * The orders that an engine is given, and the questions that wait for them. An order moves the
- * engine's state, so there is one a round, and the next rests on a new report.
+ * Sends orders to the engine, and holds the ensure requests that wait for them. An order changes
+ * the engine's state, so at most one is sent per report, and the next is chosen from a new report.
  */
 class Orders {
 public:
-    //! What the sidecar does for it.
+    //! Functions that the sidecar provides.
     struct Host {
         std::function<void( const Question& question, gateway::EnsureOutcome outcome )> answer;
-        std::function<void( Question question )> ready; //!< what it waited for is there
-        std::function<void()> changed;                  //!< gateways should hear of the engine
+        std::function<void( Question question )> ready; //!< the model and adapter are resident
+        std::function<void()> changed; //!< gateways need a new report of the engine
     };
 
     Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
             EngineClient& engine, EngineView& view, RandomSource& random, metrics::Metrics& metrics,
             Host host );
 
-    //! Begins to obtain the fencing token; no order is given without. On the deployment's first
-    //! start the store is not asked for it.
+    //! Starts to obtain the fencing token; no order is sent without it. On the deployment's first
+    //! start the token is a constant, and the store is not called.
     void start();
-    //! Queues a question for a model or adapter that is not there.
+    //! Queues an ensure request for a model or adapter that is not resident.
     void add( Question question );
     void forget( std::uint64_t key );
     void forgetPeer( const Peer& peer );
     bool waiting() const noexcept { return !m_wants.empty(); }
 
-    //! The engine's present start, as gateways know it.
+    //! Sets the id of the engine's present start, as reported by gateways.
     void setEngine( const std::string& upstreamId ) { m_engineId = upstreamId; }
-    //! The engine has come back empty.
+    //! Loads models again that the engine held before it restarted empty.
     void recall( std::vector<decide::FormerModel> lost );
-    //! The same, and this process has just started: the store's list says what the engine held.
+    //! Likewise when this process has just started and did not see what the engine held: takes the
+    //! models from the engine's entry in the store.
     void recallFromStore();
-    //! Answers what can be answered, and gives the next order.
+    //! Answers the ensure requests that can be answered now, and sends the next order.
     net::Task<> serve();
-    //! The engine does not answer: what waits goes elsewhere.
+    //! Fails the ensure requests that have waited too long for an engine that does not answer, so
+    //! that gateways try another one.
     void dropOld();
 
-    //! Earlier starts of the engine, oldest first.
+    //! Ids of the engine's earlier starts, oldest first.
     const std::vector<std::string>& former() const noexcept { return m_former; }
-    //! Milliseconds since the last order was given; -1 before the first.
+    //! Milliseconds since the last order was sent; -1 before the first.
     std::int64_t lastOrderAge( MonoTime now ) const {
         return m_orderAt ? millisBetween( *m_orderAt, now ) : -1;
     }
@@ -76,9 +78,9 @@
     Host m_host;
     std::list<Question> m_wants;
     std::uint64_t m_fence = 0; //!< 0: none yet
-    std::string m_engineId;    //!< the engine's present start, as far as known
+    std::string m_engineId;    //!< id of the engine's present start, as far as known
     std::vector<std::string> m_former;
-    std::optional<MonoTime> m_orderAt; //!< when the last order was given
+    std::optional<MonoTime> m_orderAt; //!< when the last order was sent
     decide::Recall m_recall;
 };
 
--- a/src/sidecar/pause_meter.cpp
+++ b/src/sidecar/pause_meter.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-//! Long enough for a judgement from some streams, short enough to try an engine again within
-//! seconds after its trouble.
+//! Long enough to judge an engine by several streams, and short enough to try it again within
+//! seconds after a disturbance.
 constexpr double halfLifeS = 2.0;
-//! Streams without a long pause that every engine is credited with: one late stream is no verdict.
+//! Streams in time that are added to every engine's count, so that a single late stream is not a
+//! large share.
 constexpr double credit = 2.0;
 
 double fadeFactor( MonoTime from, MonoTime to ) {
--- a/src/sidecar/pause_meter.hpp
+++ b/src/sidecar/pause_meter.hpp
@@ -12,23 +12,23 @@
 namespace coursehead::sidecar {
 
 /**
- * Which part of an engine's streams pause too long between events, as its own reports show. An
- * engine may take prompts in well and still be too slow for the streams that run beside them.
+ * Measures from an engine's reports which share of its streams pause too long between events. An
+ * engine may read prompts in time and still be too slow for the streams that run beside them.
  */
 class PauseMeter {
 public:
-    //! What a report says of the engine's runs.
+    //! Takes the runs from a new report. A stream is late after a pause longer than `longestPause`.
     void update( std::span<const gateway::EngineRun> runs, Millis longestPause, MonoTime now );
-    //! Part of the recent streams that had a longer pause, 0 to 1; fades while nothing runs.
+    //! Share of the recent streams that were late, 0 to 1. Decays while no stream runs.
     double lateShare( MonoTime now ) const;
 
 private:
     struct Run {
         std::int64_t events = 0;
-        MonoTime since; //!< when this many were first seen
+        MonoTime since; //!< when `events` was first reported
         bool late = false;
     };
-    //! Streams, each fading with a half-life.
+    //! Numbers of streams; past streams count with exponential decay.
     struct Counts {
         double all = 0;
         double late = 0;
--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-//! A prompt just let through may still be on its way when the engine reports: an answer to the
-//! gateway, a new connection and the request take some milliseconds each.
+//! A prompt admitted within this time may not have reached the engine when it reports: the answer
+//! to the gateway, a new connection and the request take some milliseconds each.
 constexpr Millis onItsWay{ 30 };
-//! The usual size follows about the last ten prompts.
+//! Smooths the usual prompt size over about the last ten prompts.
 constexpr double usualSmoothing = 0.1;
 
 gateway::Generation generationOf( const PromptAsk& ask ) {
@@ -80,7 +80,7 @@
     for( auto reading : m_queue.takeLate( now ) ) {
         const auto it = m_waiting.find( reading.key );
         const auto last = it->second.since + it->second.limit;
-        // Its goal is lost, but it may be late.
+        // The goal is missed, but this prompt may start late: queue it again within its limit.
         const bool again = it->second.prompt.late && reading.startBy < last;
         reading.startBy = last;
         if( again && m_queue.ask( reading, now ).accepted ) {
--- a/src/sidecar/prompt_gate.hpp
+++ b/src/sidecar/prompt_gate.hpp
@@ -13,57 +13,58 @@
 #include <string>
 #include <vector>
 
-//! Which prompts an engine is sent, and when.
+//! Decides which prompts are sent to an engine, and when.
 namespace coursehead::sidecar {
 
-//! A prompt whose request waits for leave to be sent.
+//! A prompt that waits to be admitted to the engine.
 struct PromptAsk {
-    std::uint64_t key = 0; //!< names it among all that ask
+    std::uint64_t key = 0; //!< unique among the prompts of all gateways
     std::string model;
     std::string adapter;
     gateway::AskedPrompt prompt;
-    MonoTime since;    //!< when its request asked
-    Millis limit{ 0 }; //!< from then on; it waits no longer
+    MonoTime since;    //!< when the gateway's ensure request arrived
+    Millis limit{ 0 }; //!< longest wait, counted from `since`
 };
 
-//! Leave for a prompt.
+//! A prompt that may be sent now.
 struct PromptLeave {
     std::uint64_t key = 0;
-    double workMs = 0; //!< reading, less what the engine keeps of it
+    double workMs = 0; //!< reading time, without the parts that the engine has cached
 };
 
 /**
- * Lets prompts through to one engine. All gateways ask here, so it knows which shared parts the
- * engine has read, in the order in which it reads them: of two prompts with the same part only the
- * first counts it.
+ * Admits prompts to one engine. It sees the prompts of all gateways, so it knows which shared parts
+ * the engine has read, and in which order: of two prompts with the same part only the first is
+ * charged for reading it.
  */
 class PromptGate {
 public:
     PromptGate() : m_prefixes( 0 ) {}
 
-    //! `gapTarget`: the streams' one where reading has to leave room for it; else zero.
+    //! `gapTarget`: the streams' gap target when prompt reading has to be limited for it; else
+    //! zero.
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
-    //! Queues a prompt, or says when the engine could begin with it.
+    //! Queues a prompt, or refuses it and returns when the engine could start to read it.
     decide::ReadingVerdict ask( const PromptAsk& ask, MonoTime now );
-    //! Prompts that may be sent now.
+    //! Removes and returns the prompts that may be sent now.
     std::vector<PromptLeave> takeDue( MonoTime now );
-    //! Prompts that come too late for their requests by now.
+    //! Removes the prompts that can no longer start in time, and returns their keys.
     std::vector<std::uint64_t> takeLate( MonoTime now );
-    //! When takeDue() has one; nullopt while none waits.
+    //! When takeDue() will return the next prompt; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const { return m_queue.nextAt( now ); }
-    //! The request has no use for a prompt any more, queued or let through.
+    //! Removes a prompt that its request no longer needs, queued or admitted.
     void withdraw( std::uint64_t key, MonoTime now );
-    //! The engine has this many prompts that it has not read whole, by its own report.
+    //! Takes from the engine's report how many prompts it has not read completely.
     void noteUnread( std::size_t prompts, MonoTime now );
-    //! The engine has dropped a model, and what it kept of its prompts.
+    //! The engine has unloaded a model, and with it the cached parts of that model's prompts.
     void dropModel( const std::string& model ) { m_prefixes.dropModel( model ); }
-    //! The engine has restarted.
+    //! Drops all prompts and cached parts: the engine has restarted.
     void clear();
 
-    //! Until a prompt of the usual size would be begun.
+    //! Time until the engine would start to read a prompt of the usual size.
     Millis usualWait( MonoTime now ) const { return m_queue.waitFor( m_usualWorkMs, now ); }
     std::size_t waiting() const noexcept { return m_queue.waiting(); }
-    //! True while prompts wait or are taken to be read.
+    //! True while prompts wait, or by estimate are being read.
     bool busy( MonoTime now ) const { return m_queue.busy( now ); }
 
 private:
@@ -73,8 +74,9 @@
     gateway::PrefixCache m_prefixes;
     std::int64_t m_cacheTokens = 0;
     std::map<std::uint64_t, PromptAsk> m_waiting; //!< by key
-    double m_usualWorkMs = 0;                     //!< smoothed over those let through
-    std::deque<MonoTime> m_leaves;                //!< times of those that may still be on their way
+    double m_usualWorkMs = 0;                     //!< smoothed over the admitted prompts
+    //! Admission times of prompts that may not have reached the engine.
+    std::deque<MonoTime> m_leaves;
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/publisher.cpp
+++ b/src/sidecar/publisher.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-//! Reports are repeated at the latest after this, so that gateways know the sidecar lives.
+//! Longest time between reports; they also show gateways that the sidecar is running.
 constexpr Millis reportEvery{ 450 };
-//! Between reports to a few gateways.
+//! Shortest time between reports while few gateways are connected.
 constexpr Millis leastPause{ 150 };
-//! Gateways for which the pause grows by another of the same length.
+//! The time between reports grows by `leastPause` for every so many gateways.
 constexpr int gatewaysPerPause = 8;
 
 } // namespace
@@ -23,7 +23,8 @@
     m_changed = true;
 }
 
-//! What all gateways together take stays the same as their number grows.
+//! Shortest time between reports. It grows with the number of gateways, so that the total rate of
+//! messages to them stays about the same.
 Millis Publisher::pause() const {
     const auto rounds = 1 + static_cast<int>( m_parts.peers.size() ) / gatewaysPerPause;
     return std::min( leastPause * rounds, reportEvery );
--- a/src/sidecar/publisher.hpp
+++ b/src/sidecar/publisher.hpp
@@ -15,7 +15,7 @@
 
 namespace coursehead::sidecar {
 
-//! What a publisher tells of; all outlive it.
+//! The objects that a publisher reports on; all must outlive it.
 struct PublishedParts {
     const std::set<PeerPtr>& peers; //!< the connected gateways
     const EngineView& view;
@@ -25,18 +25,19 @@
     const PauseMeter& pauses;
 };
 
-//! Tells gateways of the engine: all of it when more than the load has changed, else the load.
+//! Sends gateways the engine's state: a full report when more than the load has changed, otherwise
+//! only the load.
 class Publisher {
 public:
     explicit Publisher( PublishedParts parts ) : m_parts( parts ) {}
 
-    //! More than the load has changed.
+    //! Requests a full report: more than the load has changed.
     void noteChange() { m_changed = true; }
-    //! The engine answers, or ceased to.
+    //! Sets whether the engine is reachable.
     void setReachable( bool reachable );
-    //! Tells all gateways, if there is something to tell or it is time to.
+    //! Sends a report to all gateways if there are changes to report or the last one is old.
     void publish( MonoTime now );
-    //! Tells one gateway all, with these shared parts of prompts.
+    //! Sends a full report to one gateway, with the given shared prompt parts.
     void sendReport( Peer& peer, std::vector<gateway::SentPart> sentParts ) const;
 
 private:
--- a/src/sidecar/quarantine_keeper.cpp
+++ b/src/sidecar/quarantine_keeper.cpp
@@ -13,13 +13,16 @@
 using platform::StoreStatus;
 
 constexpr Millis storeLimit{ 1000 };
-//! A store that is away or over its rate is asked again after this.
+//! Delay before a write is retried when the store is unreachable or refuses it for its rate limit.
 constexpr Millis storeRetry{ 500 };
-//! Quarantines that wait for the store at the most; gateways know them all the same.
+//! Longest queue of quarantines to be written. One that finds the queue full is not written, but
+//! gateways have received it.
 constexpr std::size_t mostUnwritten = 64;
-//! Objects stay so long after their end: the content's next quarantine counts on from them.
+//! Objects are kept for this time after the quarantine has ended, because the content's next
+//! quarantine continues its count from them.
 constexpr std::int64_t keptMs = Millis( std::chrono::hours( 24 ) ).count();
-//! Old objects removed after one write: their calls are paid for.
+//! At most this many old objects are removed after one write, because each removal costs a store
+//! call.
 constexpr int mostRemoved = 8;
 
 } // namespace
--- a/src/sidecar/quarantine_keeper.hpp
+++ b/src/sidecar/quarantine_keeper.hpp
@@ -12,8 +12,8 @@
 
 namespace coursehead::sidecar {
 
-//! Counts upstreams' ends for the contents that fall to this process, tells gateways what is
-//! quarantined, and writes it to the store for those that start later.
+//! Counts the upstreams that ended under each content assigned to this process, sends the resulting
+//! quarantines to gateways, and writes them to the store for gateways that start later.
 class QuarantineKeeper {
 public:
     using Tell = std::function<void( const decide::Quarantine& quarantine )>;
@@ -21,17 +21,18 @@
     QuarantineKeeper( net::asio::io_context& context, const platform::Endpoint& store,
                       metrics::Metrics& metrics, Tell tell );
 
-    //! A gateway saw an upstream end.
+    //! Counts an end of an upstream that a gateway has reported.
     void take( const decide::PoisonEvidence& evidence, MonoTime now );
-    //! The content has run to its end.
+    //! Drops evidence and quarantine of a content: a request with it has run to completion.
     void clear( decide::Fingerprint fingerprint );
-    //! What is quarantined now, as far as this process knows.
+    //! The quarantines in force that this process knows of.
     std::vector<decide::Quarantine> all( MonoTime now ) const { return m_quarantines.all( now ); }
 
 private:
     void quarantine( const decide::Quarantine& entry, MonoTime now );
-    //! Writes what waits, one after the other, until the store has it.
+    //! Writes the queued quarantines one after the other, and retries until the store accepts them.
     net::Task<> write();
+    //! Removes objects of quarantines that ended long ago.
     net::Task<> removeOld();
 
     net::asio::io_context& m_context;
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/question.hpp
@@ -18,27 +18,28 @@
     std::shared_ptr<net::FrameChannel> channel;
     std::string gateway;
     std::map<std::string, gateway::ModelDemand> demand; //!< by model
-    double reading = 0;              //!< part of the engine's time that its prompts take
-    gateway::EngineSpecKey spec = 0; //!< description of the engine that it has
-    int gateways = 1;                //!< as many as it knows to be about
-    std::uint64_t serial = 0;        //!< of the connection
+    double reading = 0;              //!< share of the engine's time that its prompts take
+    gateway::EngineSpecKey spec = 0; //!< key of the engine specification that it holds
+    int gateways = 1;                //!< number of running gateways that it knows of
+    std::uint64_t serial = 0;        //!< number of the connection, unique in this process
 };
 using PeerPtr = std::shared_ptr<Peer>;
 
-//! What a gateway waits for: a model or adapter, then leave to send a prompt.
+//! An ensure request of a gateway that is not answered yet: it waits for a model or adapter to be
+//! resident, then for its prompt to be admitted.
 struct Question {
     Want want;
     std::string upstreamId;
     std::weak_ptr<Peer> peer;
-    std::uint64_t number = 0; //!< as the gateway counts
-    std::uint64_t key = 0;    //!< among the questions of all connections
+    std::uint64_t number = 0; //!< the gateway's own number of the request
+    std::uint64_t key = 0;    //!< unique over all connections
     gateway::AskedPrompt prompt;
     MonoTime since;
-    Millis limit{ 0 };   //!< the gateway waits no longer
-    bool loaded = false; //!< something had to be ordered or waited for
+    Millis limit{ 0 };   //!< longest wait, counted from `since`
+    bool loaded = false; //!< the model or adapter was not resident at first
 };
 
-//! Names a question among those of all connections.
+//! A key for an ensure request that is unique over all connections.
 inline std::uint64_t keyOf( const Peer& peer, std::uint64_t number ) {
     constexpr unsigned serialShift = 40;
     return ( peer.serial << serialShift ) | number;
--- a/src/sidecar/relay.cpp
+++ b/src/sidecar/relay.cpp
@@ -18,33 +18,34 @@
 
 namespace {
 
-//! Quarantines that the store's copy lacks are written again by every relay, so each tries for a
-//! few seconds only.
+//! Failed writes after which a relay stops to write missing quarantines again. Every relay writes
+//! them, so each one tries for a few seconds only.
 constexpr int mostTries = 10;
 constexpr Millis writeRetry{ 500 };
 constexpr Millis writeLimit{ 1000 };
 
-//! A coldness that only runs down is no news.
+//! True when the upstream stays cold for longer than before; a cold time that only runs down is not
+//! sent.
 bool turnsCold( const Upstream& before, const Upstream& now ) {
     return now.cold > before.cold;
 }
 
-//! Most gateways are not connected to the sidecar of an engine: which models it holds they know
-//! from here. Adapters change all the time, and take little to load.
+//! Compares the models only. Most gateways are not connected to an engine's sidecar, and learn from
+//! the relay which models it holds. Adapters change all the time, and load quickly.
 bool holdsSameModels( const Upstream& a, const Upstream& b ) {
     return std::equal( a.residents.begin(), a.residents.end(), b.residents.begin(),
                        b.residents.end(),
                        []( const auto& x, const auto& y ) { return x.model == y.model; } );
 }
 
-//! True when gateways have to hear of it.
+//! True when a change has to be sent to gateways.
 bool differs( const Upstream& a, const Upstream& b ) {
     return a.created != b.created || a.born != b.born || a.service != b.service || a.ip != b.ip ||
            a.port != b.port || a.hall != b.hall || a.slots != b.slots || a.state != b.state ||
            a.remaining != b.remaining || !holdsSameModels( a, b ) || turnsCold( a, b );
 }
 
-//! The kind of object in the store that a part is.
+//! The store's kind of object for a part.
 std::string_view kindOf( StorePart part ) {
     switch( part ) {
     case StorePart::upstreams:
@@ -59,7 +60,7 @@
     return {};
 }
 
-//! Adds an object of a part that is told by its names, or by what is left of it now.
+//! Adds an evacuation by its name, or a quarantine with the time that is left of it now.
 void addObject( StoreNews& news, const platform::StoreObject& object ) {
     if( news.part == StorePart::evacuations ) {
         news.emptied.push_back( object.name );
@@ -130,7 +131,8 @@
 }
 
 gateway::FollowHandlers Relay::handlersFor( const PartPtr& part ) {
-    // The part holds its follower, and that its handlers: a strong pointer would keep all alive.
+    // The part owns its follower, and the follower these handlers: a strong pointer to the part
+    // would be a reference cycle.
     const std::weak_ptr<Part> weak = part;
     const auto current = [this, weak]() -> Part* {
         const auto it = weak.lock();
@@ -172,7 +174,7 @@
             return;
         }
         if( position.era != it->position.era ) {
-            // Changes say nothing to those who know another history.
+            // Changes do not apply to a snapshot of another era: subscribers need a new snapshot.
             for( auto& subscriber : m_subscribers ) {
                 subscriber.second.whole.erase( it->part );
             }
@@ -197,7 +199,8 @@
     }
     const bool lost = std::exchange( part.restored, false ) && !missing.empty();
     if( lost && part.part == StorePart::quarantines ) {
-        // Nobody else writes them: what the copy lacks is still in force.
+        // Only sidecars write quarantines, so those that the restored copy lacks are still in
+        // force.
         std::vector<platform::StoreObject> again;
         again.reserve( missing.size() );
         for( const auto& name : missing ) {
@@ -251,7 +254,7 @@
     }
     auto upstream = part.reader.upstream( object );
     if( !upstream ) {
-        // Written over by somebody with what names no upstream.
+        // The entry was overwritten, and no longer describes an upstream.
         remove( part, object.name );
         return;
     }
--- a/src/sidecar/relay.hpp
+++ b/src/sidecar/relay.hpp
@@ -16,8 +16,8 @@
 
 namespace coursehead::sidecar {
 
-//! Watches the store for gateways that ask for it, and passes on what changes. Calls the store only
-//! while somebody asks.
+//! Watches the store on behalf of gateways, and sends them its changes. Calls the store only while
+//! a gateway is subscribed.
 class Relay {
 public:
     //! Sends an encoded message to one gateway.
@@ -26,32 +26,33 @@
     Relay( net::asio::io_context& context, const platform::NodeSettings& settings,
            RandomSource& random, metrics::Metrics& metrics );
 
-    //! `who` tells gateways' connections apart.
+    //! `who` identifies the gateway's connection. Sends the snapshots of all parts that are up to
+    //! date.
     void subscribe( const void* who, Send send );
     void unsubscribe( const void* who );
 
 private:
-    //! A part of the store, followed from the first subscriber's coming until the last one's going.
+    //! A part of the store, followed from the first subscription until the last one has ended.
     struct Part {
         std::unique_ptr<gateway::Follower> follower;
         gateway::StorePart part = gateway::StorePart::upstreams;
         bool listed = false;
         bool reachable = false;
         decide::StorePosition position;
-        bool restored = false; //!< the store has come back from a copy, not yet listed
+        bool restored = false; //!< the store was restored from a copy, and not listed since
         std::map<std::string, gateway::Upstream> upstreams;
         std::string configuration;
-        std::map<std::string, platform::StoreObject> objects; //!< of other parts than upstreams
+        std::map<std::string, platform::StoreObject> objects; //!< quarantines or evacuations
         gateway::ObjectReader reader;
-        std::set<std::string> changed; //!< names of objects since the last message
-        std::set<std::string> gone;    //!< likewise
+        std::set<std::string> changed; //!< objects changed since the last message, by name
+        std::set<std::string> gone;    //!< objects removed since the last message, by name
         bool configurationChanged = false;
     };
     using PartPtr = std::shared_ptr<Part>;
 
     struct Subscriber {
         Send send;
-        std::set<gateway::StorePart> whole; //!< parts that it has been given whole
+        std::set<gateway::StorePart> whole; //!< parts whose snapshot was sent
     };
 
     void startPart( gateway::StorePart kind );
@@ -59,7 +60,7 @@
     static void put( Part& part, const platform::StoreObject& object );
     static void remove( Part& part, const std::string& name );
     void takeListing( Part& part, const std::vector<platform::StoreObject>& objects );
-    //! Writes quarantines again that the store's copy lacks.
+    //! Writes quarantines again that a store restored from a copy lacks.
     net::Task<> writeAgain( std::vector<platform::StoreObject> objects );
     void publish( Part& part );
     void publishUnreachable( Part& part );
@@ -71,7 +72,7 @@
     RandomSource& m_random;
     metrics::Metrics& m_metrics;
     std::map<const void*, Subscriber> m_subscribers;
-    std::vector<PartPtr> m_parts; //!< empty while nobody asks
+    std::vector<PartPtr> m_parts; //!< empty while no gateway is subscribed
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/report_news.cpp
+++ b/src/sidecar/report_news.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-//! Changes of the load that are worth a report of their own.
+//! Smallest changes of the load that cause a report.
 constexpr std::uint32_t runningStep = 4;
 constexpr std::uint32_t prefillingStep = 2;
 
--- a/src/sidecar/report_news.hpp
+++ b/src/sidecar/report_news.hpp
@@ -4,13 +4,13 @@
 
 #include "gateway/model.hpp"
 
-//! Which changes of an engine's report gateways are told of.
+//! Decides which changes of an engine's report are sent to gateways.
 namespace coursehead::sidecar {
 
-//! True when more than the load is different.
+//! True when the reports differ in more than the load.
 bool shapeDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b );
 
-//! True when a gateway would decide differently by one load than by the other.
+//! True when the loads differ enough to change a gateway's decisions.
 bool loadDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b );
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/residency.cpp
+++ b/src/sidecar/residency.cpp
@@ -12,24 +12,27 @@
 using gateway::EngineSpec;
 using gateway::Resident;
 
-//! A model stays at least this long after its load: two models must not push each other out.
+//! A model is not unloaded within this time after its load. Without it two models in demand would
+//! evict each other in turn.
 constexpr Millis modelStay{ 1500 };
-//! An adapter used this lately is taken to be in use.
+//! An adapter that was used within this time counts as in use.
 constexpr Millis adapterStay{ 300 };
-//! An adapter that nothing uses is unloaded at once; one that is still listed after this is in use,
+//! An unused adapter is unloaded at once. If a report still lists it after this time, it is in use
 //! or the order was lost.
 constexpr Millis adapterUnload{ 1000 };
-//! Adapters that may be on their way to an engine at once.
+//! Adapters that may be loading into an engine at the same time.
 constexpr std::size_t maxComing = 4;
 
-//! What the last copy of a model counts for that nobody asks for now, in requests a second.
+//! Value of the last copy of a model that has no demand now, in requests a second.
 constexpr double lastCopyPerS = 0.05;
 
-//! What each running request counts for in the choice of a model to drop, which has to wait for it.
-//! Small beside a last copy, so that it decides between copies of about the same worth.
+//! Value that each running request adds to a model in the choice of one to unload, because the
+//! unload has to wait for that request. Small beside the value of a last copy, so that it only
+//! decides between copies of about the same value.
 constexpr double runPerS = 0.01;
 constexpr int mostRuns = 10;
-//! A retiring model is unloaded after this even when requests still run: most streams end sooner.
+//! A retiring model is unloaded after this time even if requests still run; most streams end
+//! sooner.
 constexpr Millis retireLimit{ 3000 };
 
 const Resident* findModel( const EngineReport& report, std::string_view model ) {
@@ -47,7 +50,7 @@
     if( spec != nullptr ) {
         return spec->weightsMb;
     }
-    // A model that the configuration no longer names: as large as the largest.
+    // The configuration no longer names this model: assume the size of the largest one.
     double out = 0;
     for( const auto& it : engine.models ) {
         out = std::max( out, it.weightsMb );
@@ -73,8 +76,8 @@
     return it == uses.end() ? Use{} : it->second;
 }
 
-//! What losing a copy of a model would cost, in requests a second that suffer: one of many copies
-//! leaves the others a little more to do; the last one makes every request wait for a load.
+//! Cost of unloading a copy of a model, in affected requests a second. Without one of several
+//! copies the others take over its requests; without the last copy every request waits for a load.
 double valueOf( const Use& use ) {
     const double runs = runPerS * std::min( use.running, mostRuns );
     if( use.copies > 1 ) {
@@ -113,8 +116,8 @@
     for( const auto& it : holdings.report->residents ) {
         for( const auto& adapter : it.adapters ) {
             const auto use = useOf( holdings.adapters, adapterKey( it.model, adapter ) );
-            // The engine carries an unload out when the last run has ended, and until then takes no
-            // other order.
+            // The engine delays an unload until the adapter's last run has ended, and accepts no
+            // other order until then.
             if( use.running > 0 || now - use.lastUsed < adapterStay ) {
                 continue;
             }
@@ -127,8 +130,8 @@
     return out;
 }
 
-//! An unload waits for the model's runs, and the engine takes no other order meanwhile: new
-//! requests are kept away first.
+//! Retires a busy model before it is unloaded: the engine delays an unload until the model's runs
+//! have ended, and accepts no other order meanwhile.
 Step stepToDrop( const Holdings& holdings, const std::string& model, MonoTime now ) {
     const bool busy = useOf( holdings.models, model ).running > 0;
     const bool waited = holdings.retiring == model && now - holdings.retiringSince >= retireLimit;
@@ -160,7 +163,7 @@
 }
 
 Step stepToAdapter( const Holdings& holdings, const Want& want, MonoTime now ) {
-    // While an order for a model is under way the engine takes none for adapters either.
+    // While an order for a model is under way the engine accepts none for adapters either.
     const auto& report = *holdings.report;
     const auto key = adapterKey( want.model, want.adapter );
     if( report.ordering || contains( report.coming, key ) ) {
--- a/src/sidecar/residency.hpp
+++ b/src/sidecar/residency.hpp
@@ -9,69 +9,71 @@
 #include <string_view>
 #include <vector>
 
-//! Which order an engine gets next, so that wanted models and adapters become ready.
+//! Chooses the next order for an engine, so that required models and adapters become resident.
 namespace coursehead::sidecar {
 
 //! How much a model or adapter is used, as far as the sidecar knows.
 struct Use {
-    double perS = 0; //!< requests a second, all gateways together
+    double perS = 0; //!< requests a second of all gateways together
     int copies = 1;  //!< upstreams that hold it
-    int running = 0; //!< requests in flight for it here, as gateways say
+    int running = 0; //!< requests for it in flight at this engine, as reported by gateways
     MonoTime lastUsed;
     MonoTime loadedAt;
 };
 
 /**
- * A model or adapter whose unload was ordered, and is not known to be done or lost. An engine
- * carries an unload out when the runs there have ended, and refuses new ones until then; its
- * reports go on listing what it unloads. Of 290 requests that engines refused on a loaded day 270
- * were sent to a model that its own sidecar had ordered out.
+ * A model or adapter whose unload was ordered and is not yet known to be complete or lost. The
+ * engine unloads it when the runs that use it have ended, and refuses new runs for it until then;
+ * meanwhile its reports still list it as resident. Requests sent to it in that time are refused:
+ * they were 270 of the 290 refusals by engines on a loaded day.
  */
 struct Unloading {
     std::string model;
-    std::string adapter; //!< empty: the model
-    MonoTime since;
+    std::string adapter; //!< empty: the model itself
+    MonoTime since;      //!< when the order was sent
 };
-//! Forgets what a report shows to be done or lost; the report was asked for after the orders.
+//! Removes the unloads that a report shows to be complete or lost. The report must have been
+//! requested after the orders were sent.
 void settleUnloads( std::vector<Unloading>& unloads, const gateway::EngineReport& report,
                     MonoTime now );
 bool isUnloading( const std::vector<Unloading>& unloads, std::string_view model,
                   std::string_view adapter );
-//! Residents that requests may still be sent for: without those that make way.
+//! The residents that requests may still be sent for: without those being unloaded and without the
+//! retiring model.
 std::vector<gateway::Resident> offered( const std::vector<gateway::Resident>& residents,
                                         const std::vector<Unloading>& unloads,
                                         std::string_view retiring );
 
-//! What the decision rests on.
+//! Input of the decision: the engine's contents, their use, and the changes under way.
 struct Holdings {
     const gateway::EngineSpec* engine = nullptr;
     const gateway::EngineReport* report = nullptr;
     std::map<std::string, Use, std::less<>> models;
-    std::map<std::string, Use, std::less<>> adapters; //!< by MODEL/NAME
-    std::string retiring;                             //!< model that gets no new requests; or empty
+    std::map<std::string, Use, std::less<>> adapters; //!< by MODEL/ADAPTER
+    std::string retiring; //!< model that is sent no new requests; empty: none
     MonoTime retiringSince;
-    std::vector<Unloading> unloads; //!< under way; their memory is still taken
+    std::vector<Unloading> unloads; //!< under way; they still occupy memory
 };
 
-//! A model, or an adapter of it, that a request waits for.
+//! The model, and the adapter of it if any, that a request requires.
 struct Want {
     std::string model;
-    std::string adapter;    //!< empty: the model alone
-    bool fromStore = false; //!< the weight store may be used
+    std::string adapter;    //!< empty: only the model
+    bool fromStore = false; //!< loading from the weight store is allowed
 
     bool operator==( const Want& ) const = default;
 };
 
 enum class StepKind {
-    ready,     //!< it is there
-    leaving,   //!< it is there, and on its way out: nobody is let in, or waits for it
-    wait,      //!< an order under way has to end first
-    load,      //!< order to load `model` or `adapter`
-    unload,    //!< order to unload `model` or `adapter`, to make room
-    retire,    //!< send no more requests for `model`: it makes way when those running have ended
-    noRoom,    //!< nothing may make way now
-    needStore, //!< only the weight store has it, and that may not be used
-    unknown,   //!< the engine does not offer it
+    ready,   //!< resident
+    leaving, //!< being unloaded: requests are neither admitted nor queued for it
+    wait,    //!< an order under way has to finish first
+    load,    //!< order to load `model` or `adapter`
+    unload,  //!< order to unload `model` or `adapter`, to free capacity
+    retire,  //!< stop sending requests for `model`, and unload it when the running ones have ended
+    noRoom,  //!< nothing may be unloaded now
+    needStore, //!< only the weight store has it, and loading from there is not allowed
+    unknown,   //!< the engine's service does not offer the model
 };
 struct Step {
     StepKind kind = StepKind::wait;
@@ -79,15 +81,16 @@
     std::string adapter;
 };
 
-//! The next step towards a want.
+//! The next step towards making the required model or adapter resident.
 Step nextStep( const Holdings& holdings, const Want& want, MonoTime now );
 
-//! Weights and adapters that the engine holds or is taking in, in megabytes.
+//! Memory taken by weights and adapters that are resident or loading, in megabytes.
 double usedMb( const gateway::EngineSpec& engine, const gateway::EngineReport& report );
 
-//! True when another adapter could be loaded without waiting for running requests to end.
+//! True when another adapter can be loaded without waiting for running requests to end.
 bool adapterRoom( const Holdings& holdings, MonoTime now );
 
+//! MODEL/ADAPTER, as engines report adapters that are loading.
 std::string adapterKey( std::string_view model, std::string_view adapter );
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/sent_parts.cpp
+++ b/src/sidecar/sent_parts.cpp
@@ -5,7 +5,8 @@
 
 namespace {
 
-//! An engine keeps some 250,000 tokens; shared parts have some thousand each, or some hundred.
+//! Number of parts that are kept. An engine caches some 250,000 tokens, and a shared part has some
+//! hundred to some thousand.
 constexpr std::size_t mostParts = 400;
 
 } // namespace
--- a/src/sidecar/sent_parts.hpp
+++ b/src/sidecar/sent_parts.hpp
@@ -13,15 +13,15 @@
 namespace coursehead::sidecar {
 
 /**
- * Shared parts of prompts that gateways sent to an engine. One gateway of thirty sends it too few
- * prompts to know what it keeps; together they know.
+ * The shared prompt parts that all gateways have sent to an engine, and that it may have cached.
+ * One gateway of thirty sends the engine too few prompts to know what it has cached.
  */
 class SentParts {
 public:
     void add( std::span<const gateway::SentPart> parts );
-    //! Those added or used again since the last call, the one used last at the end.
+    //! The parts added or used again since the last call, most recently used last.
     std::vector<gateway::SentPart> takeNew();
-    //! All that are remembered, the one used last at the end.
+    //! All parts that are kept, most recently used last.
     std::vector<gateway::SentPart> all() const;
     void clear();
 
@@ -31,7 +31,7 @@
         bool told = false;
     };
 
-    std::list<Entry> m_entries; //!< the one used last at the end
+    std::list<Entry> m_entries; //!< most recently used last
     std::map<std::uint64_t, std::list<Entry>::iterator> m_index;
 };
 
--- a/src/sidecar/shared_counts.hpp
+++ b/src/sidecar/shared_counts.hpp
@@ -11,14 +11,15 @@
 
 namespace coursehead::sidecar {
 
-//! What this sidecar counts for all gateways: organisations' quotas and upstreams' limits.
+//! The counts that this sidecar holds for all gateways: organisations' quotas and upstreams' rate
+//! limits.
 class SharedCounts {
 public:
     SharedCounts( const std::set<PeerPtr>& peers, metrics::Metrics& metrics )
         : m_peers( peers ), m_metrics( metrics ) {}
 
     void setQuotaRule( const decide::QuotaRule& rule ) { m_quotas.setRule( rule ); }
-    //! Takes a message that is about them; false when it is about something else.
+    //! Handles a message about quotas or limits; returns false for any other message.
     bool take( const Peer& peer, const gateway::Message& message );
 
 private:
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -32,22 +32,25 @@
 
 using gateway::EnsureOutcome;
 
-//! Pause between reports while nothing is wanted.
+//! Time between two polls of the engine's report while no request waits for the engine.
 constexpr Millis idlePoll{ 150 };
-//! While prompts are read: the gate follows what the engine has read of them.
+//! Likewise while prompts are read: the prompt gate follows the engine's progress in reading them.
 constexpr Millis readingPoll{ 40 };
-//! While a want waits: adapters load within some ten milliseconds, models within seconds.
+//! Likewise while an ensure request waits for a load: adapters load within some ten milliseconds,
+//! models within seconds.
 constexpr Millis wantPoll{ 12 };
-//! A want that can't be met within this is answered as failed; its request goes elsewhere.
+//! An ensure request that is not met within this time is answered as failed, and the gateway tries
+//! another engine.
 constexpr Millis wantLimit{ 9000 };
-//! A gateway that was asked for the engine's description may have gone.
+//! Time after which another gateway is asked for the engine's specification; the first one may have
+//! disconnected.
 constexpr Millis specAskAgain{ 200 };
-//! Failed reports in a row after which the engine counts as unreachable.
+//! Consecutive failed polls after which the engine counts as unreachable.
 constexpr int failuresToLost = 2;
-//! Requests that a line names as running at an engine: as many as an engine has places.
+//! Running requests that a log line lists: as many as an engine has slots.
 constexpr std::size_t mostRunsLogged = 64;
 
-//! ID:EVENTS of each request that the engine ran, separated by commas.
+//! ID:EVENTS of each run, separated by commas.
 std::string runsText( std::span<const gateway::EngineRun> runs ) {
     std::string out;
     for( const auto& it : runs.first( std::min( runs.size(), mostRunsLogged ) ) ) {
@@ -142,7 +145,7 @@
         }
     }
 
-    //! What gateways saw of upstreams' ends; false when the message is about something else.
+    //! Handles a gateway's report about poison requests; returns false for any other message.
     bool takePoison( const gateway::Message& message ) {
         const auto now = MonoClock::now();
         if( const auto* evidence = std::get_if<decide::PoisonEvidence>( &message ) ) {
@@ -164,7 +167,8 @@
         }
     }
 
-    //! A gateway that has just connected may have started after a quarantine was told.
+    //! Sends all quarantines to a gateway that has just connected: it may have started after they
+    //! were broadcast.
     void sendQuarantines( Peer& peer ) {
         decide::QuarantineNews news{ m_quarantines.all( MonoClock::now() ) };
         if( !news.entries.empty() ) {
@@ -199,7 +203,8 @@
                                 first ? m_sentParts.all() : std::vector<gateway::SentPart>{} );
     }
 
-    //! One gateway is asked at a time: all have the same.
+    //! Requests the engine's specification. One gateway is asked at a time, since all have the same
+    //! one.
     void askSpec( Peer& peer ) {
         const auto now = MonoClock::now();
         const bool asked = now - m_specAsked < specAskAgain;
@@ -223,7 +228,7 @@
         m_wake.cancel();
     }
 
-    //! Another start of the engine: it keeps nothing of what was sent before.
+    //! Handles a restart of the engine, which has lost the prompts and cached parts sent before.
     void startAnew() {
         m_sentParts.clear();
         m_admission.failAll();
@@ -271,8 +276,8 @@
         waitForWant( std::move( question ) );
     }
 
-    //! Other gateways hear which shared parts the engine has read. The last part is the request's
-    //! own.
+    //! Records the shared prompt parts that the engine reads, to publish them to all gateways. The
+    //! last part belongs to this request alone.
     void noteParts( const Question& question ) {
         std::vector<gateway::SentPart> parts;
         for( const auto& it : question.prompt.parts ) {
@@ -393,7 +398,7 @@
         }
     }
 
-    //! With what ran, and whether an order was under way, when the engine was heard last.
+    //! Logs the change with the last report's runs, and whether an order was under way then.
     void logEngine( bool reachable ) const {
         const auto& last = m_view.report();
         log::info( reachable ? "engine_regained" : "engine_lost",
@@ -457,10 +462,10 @@
     net::asio::signal_set m_signals;
     std::uint64_t m_lastSerial = 0;
     std::uint64_t m_configVersion = 0;
-    gateway::EngineSpecKey m_wantedSpec = 0; //!< by the newest configuration
-    gateway::EngineSpecKey m_spec = 0;       //!< known
+    gateway::EngineSpecKey m_wantedSpec = 0; //!< specification named by the newest configuration
+    gateway::EngineSpecKey m_spec = 0;       //!< specification that this sidecar has
     MonoTime m_specAsked;
-    std::string m_upstreamId; //!< the engine's present start, as gateways know it
+    std::string m_upstreamId; //!< the engine's present start, as reported by gateways
     Millis m_gapTarget{ 0 };
     bool m_reachable = false;
 };
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -7,7 +7,8 @@
 
 namespace coursehead::sidecar {
 
-//! Runs the sidecar beside an engine: the only process that gives it orders. Gives the exit code.
+//! Runs the sidecar of an engine, the only process that sends the engine orders. Returns the exit
+//! code.
 int runSidecar( std::span<const std::string> arguments );
 
 } // namespace coursehead::sidecar
