--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -59,7 +59,7 @@
     std::map<std::uint32_t, double> lastUsed;
     std::list<std::uint64_t> prefixes; //!< most recent first
     bool alive = true;
-    bool ordering = false;
+    bool orderInProgress = false;
     std::uint32_t generation = 0; //!< goes up when it dies
     std::uint32_t reportedLoad = 0;
     std::uint32_t sentSinceReport = 0;
@@ -395,7 +395,7 @@
 
     void stepOrders( std::uint32_t n ) {
         auto& runner = m_runners[n];
-        if( runner.ordering || !runner.alive ) {
+        if( runner.orderInProgress || !runner.alive ) {
             return;
         }
         const auto wantedNow = wanted( runner );
@@ -411,7 +411,7 @@
         }
         m_breaches += ledger::withinCapacity( runner.ledger ) ? 0 : 1;
         ++m_moves;
-        runner.ordering = true;
+        runner.orderInProgress = true;
         const bool lost = m_faults.on && draw() < lostOrderShare;
         double seconds = unloadSeconds;
         if( order->action == ledger::OrderAction::load ) {
@@ -444,7 +444,7 @@
         if( runner.generation != event.generation ) {
             return;
         }
-        runner.ordering = false;
+        runner.orderInProgress = false;
         if( event.lost ) {
             // The fence and the report showed that it had no effect.
             ledger::withdraw( runner.ledger, event.order );
--- a/src/decide/homes.hpp
+++ b/src/decide/allowed_regions.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_HOMES_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_HOMES_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_ALLOWED_REGIONS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_ALLOWED_REGIONS_HPP_INCLUDED
 
 #include <algorithm>
 #include <span>
@@ -11,20 +11,20 @@
 namespace coursehead::decide {
 
 //! The regions that a route and an organisation name; an empty list names all. Both bind.
-struct Homes {
+struct AllowedRegions {
     std::span<const std::string> route;
     std::span<const std::string> organisation;
 };
 
 //! True when a request may be served in a region; nobody's home is a region that is not known.
-inline bool mayServe( const Homes& homes, std::string_view region ) {
+inline bool mayServe( const AllowedRegions& allowedRegions, std::string_view region ) {
     const auto allows = [region]( std::span<const std::string> regions ) {
         return regions.empty() ||
                std::find( regions.begin(), regions.end(), region ) != regions.end();
     };
-    return allows( homes.route ) && allows( homes.organisation );
+    return allows( allowedRegions.route ) && allows( allowedRegions.organisation );
 }
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_HOMES_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_ALLOWED_REGIONS_HPP_INCLUDED
--- a/src/decide/announcement.cpp
+++ b/src/decide/announcement.cpp
@@ -5,10 +5,9 @@
 
 namespace coursehead::decide {
 
-void Announcements::take( const Announcement& said, MonoTime now ) {
+void AnnouncedState::take( const Announcement& said, MonoTime now ) {
     if( said.backoff ) {
-        m_backoffUntil =
-            std::max( m_backoffUntil, now + std::min( *said.backoff, longestBackoff ) );
+        m_backoffUntil = std::max( m_backoffUntil, now + std::min( *said.backoff, maxBackoff ) );
     }
     m_leaving = m_leaving || said.leaving;
 }
--- a/src/decide/announcement.hpp
+++ b/src/decide/announcement.hpp
@@ -10,7 +10,7 @@
 namespace coursehead::decide {
 
 //! What an answer says of a limit on requests.
-enum class LimitSaid {
+enum class LimitAnnouncement {
     none,  //!< nothing: its upstream takes what comes
     named, //!< so many requests a second, from all gateways together
     unreadable,
@@ -21,7 +21,7 @@
     std::optional<Millis> backoff; //!< this gateway is to send it nothing for so long
     bool leaving = false;          //!< it is about to end
     std::optional<Millis> cold;    //!< it stays slow from its start for so much longer
-    LimitSaid limit = LimitSaid::none;
+    LimitAnnouncement limit = LimitAnnouncement::none;
     double limitPerS = 0; //!< requests a second, where one is named
 
     bool operator==( const Announcement& ) const = default;
@@ -29,13 +29,13 @@
 
 //! A longer back-off is cut to this: a header that was spoiled on its way would else take an
 //! upstream from a gateway for good. Far above the seconds that overloaded servers ask for.
-inline constexpr Millis longestBackoff = std::chrono::hours( 1 );
+inline constexpr Millis maxBackoff = std::chrono::hours( 1 );
 
 //! Likewise for how long it is cold: no start takes longer.
-inline constexpr Millis longestCold = std::chrono::minutes( 10 );
+inline constexpr Millis maxColdTime = std::chrono::minutes( 10 );
 
 //! What one start of an upstream has announced to one gateway.
-class Announcements {
+class AnnouncedState {
 public:
     //! Takes what an answer said that has come now. A back-off only ever grows: an answer that
     //! asks for less, or for none, belongs to a request that crossed the one that asked for more.
--- a/src/decide/cold_gate.hpp
+++ b/src/decide/cold_gate.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_DECIDE_COLD_GATE_HPP_INCLUDED
 
 #include "coursehead/kernel/clock.hpp"
-#include "decide/turns.hpp"
+#include "decide/send_schedule.hpp"
 
 #include <deque>
 
@@ -45,7 +45,7 @@
 private:
     void forgetOld( MonoTime now );
 
-    Turns m_turns; //!< at less than one request a second
+    SendSchedule m_turns; //!< at less than one request a second
     MonoTime m_until;
     std::deque<MonoTime> m_taken; //!< within the last window
 };
--- a/src/decide/whole_runs.hpp
+++ b/src/decide/completed_runs.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
 
 #include "decide/poison.hpp"
 
@@ -15,11 +15,11 @@
  * service. Only the first: what ran well before may be poison for the next version of a model. A
  * later content takes the place of an earlier one now and then; 32 KB.
  */
-class WholeRuns {
+class CompletedRuns {
 public:
     void note( Fingerprint fingerprint ) { m_places[fingerprint % m_places.size()] = fingerprint; }
     //! True once for each time that the content was noted.
-    bool forgive( Fingerprint fingerprint ) {
+    bool consume( Fingerprint fingerprint ) {
         auto& place = m_places[fingerprint % m_places.size()];
         return place == fingerprint && std::exchange( place, 0 ) != 0;
     }
@@ -31,4 +31,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_WHOLE_RUNS_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_COMPLETED_RUNS_HPP_INCLUDED
--- a/src/decide/evacuation.cpp
+++ b/src/decide/evacuation.cpp
@@ -5,14 +5,14 @@
 
 namespace coursehead::decide {
 
-Millis graceOf( const EvacuationRule& rule ) {
+Millis evacuationGrace( const EvacuationRule& rule ) {
     constexpr int parts = 2;
     return std::min( rule.bound, rule.contact ) / parts;
 }
 
 bool Evacuations::begin( const std::string& hall, bool justOrdered, const EvacuationRule& rule,
                          MonoTime now ) {
-    const auto stop = justOrdered ? now + graceOf( rule ) : now;
+    const auto stop = justOrdered ? now + evacuationGrace( rule ) : now;
     return m_stops.emplace( hall, stop ).second;
 }
 
--- a/src/decide/evacuation.hpp
+++ b/src/decide/evacuation.hpp
@@ -26,7 +26,7 @@
 //! How long after it has heard of the order a process may still send there what only that hall
 //! holds. Half of the bound leaves the other half for the way; half of the contact time covers a
 //! process that was stopped or cut off and finds the order among what waited for it.
-Millis graceOf( const EvacuationRule& rule );
+Millis evacuationGrace( const EvacuationRule& rule );
 
 //! The halls that one process knows to be emptied.
 class Evacuations {
--- a/src/decide/event_pace.cpp
+++ b/src/decide/event_pace.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-std::optional<Millis> EventPace::whileReading() const {
+std::optional<Millis> EventPace::pauseWhileReading() const {
     if( !m_calmMs || !m_addMs ) {
         return std::nullopt;
     }
--- a/src/decide/event_pace.hpp
+++ b/src/decide/event_pace.hpp
@@ -24,7 +24,7 @@
     //! whole.
     void update( std::span<const gateway::EngineRun> runs, bool reading, MonoTime now );
     //! Pause between events while prompts are read all the time; nullopt until it was seen.
-    std::optional<Millis> whileReading() const;
+    std::optional<Millis> pauseWhileReading() const;
 
 private:
     struct Run {
--- a/src/decide/fingerprint.cpp
+++ b/src/decide/fingerprint.cpp
@@ -29,7 +29,7 @@
     return buf.data();
 }
 
-std::optional<Fingerprint> readFingerprint( std::string_view text ) {
+std::optional<Fingerprint> parseFingerprint( std::string_view text ) {
     constexpr int hexadecimal = 16;
     Fingerprint out = 0;
     const auto* end = text.data() + text.size();
--- a/src/decide/fingerprint.hpp
+++ b/src/decide/fingerprint.hpp
@@ -28,7 +28,7 @@
 //! As it stands in logs and in the store: 16 hexadecimal digits.
 std::string fingerprintText( Fingerprint fingerprint );
 //! Reads it back; nullopt when it is none.
-std::optional<Fingerprint> readFingerprint( std::string_view text );
+std::optional<Fingerprint> parseFingerprint( std::string_view text );
 
 } // namespace coursehead::decide
 
--- a/src/decide/limit_book.cpp
+++ b/src/decide/gateway_limits.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -36,12 +36,12 @@
     return "unknown";
 }
 
-LimitDecision followLimit( LimitState& state, const std::optional<LimitAnswer>& answer,
-                           int gateways, MonoTime asked, MonoTime now ) {
+LimitDecision applyLimitAnswer( LimitState& state, const std::optional<LimitAnswer>& answer,
+                                int gateways, MonoTime asked, MonoTime now ) {
     const auto noRoom = [&]( LimitOutcome outcome, Millis room, Millis wait ) {
         state.fullUntil = now + std::min( room, longestFull );
-        state.comeBack = now + std::min( wait, longestFull );
-        return LimitDecision{ outcome, state.comeBackLeft( now ) };
+        state.retryAt = now + std::min( wait, longestFull );
+        return LimitDecision{ outcome, state.retryLeft( now ) };
     };
     switch( answer ? answer->verdict : LimitVerdict::unknown ) {
     case LimitVerdict::granted:
@@ -50,27 +50,28 @@
         state.known.noteNone( asked, now );
         return { LimitOutcome::ended, Millis{ 0 } };
     case LimitVerdict::full:
-        return noRoom( LimitOutcome::full, Millis( answer->roomMs ), Millis( answer->waitMs ) );
+        return noRoom( LimitOutcome::full, Millis( answer->earliestWaitMs ),
+                       Millis( answer->waitMs ) );
     case LimitVerdict::unknown:
         break;
     }
     const double perS =
         std::clamp( state.known.perS().value_or( mostLimitPerS ), leastLimitPerS, mostLimitPerS );
-    const auto wait = state.turns.wait( turnsPart * perS / std::max( gateways, 1 ), now );
+    const auto wait = state.sendSchedule.wait( turnsPart * perS / std::max( gateways, 1 ), now );
     if( wait.count() > 0 ) {
         return noRoom( LimitOutcome::noTurn, wait, wait );
     }
-    state.turns.take( now );
+    state.sendSchedule.take( now );
     return { LimitOutcome::ownTurn, Millis{ 0 } };
 }
 
-bool concerns( const UpstreamLimit& known, MonoTime now ) {
+bool isReportable( const UpstreamLimit& known, MonoTime now ) {
     const bool lately = known.endedAt() != MonoTime{} && now - known.endedAt() < endTold;
     return lately || known.perS().has_value();
 }
 
-void LimitBook::setWords( Words words ) {
-    m_words = std::move( words );
+void GatewayLimits::setStatements( Statements statements ) {
+    m_words = std::move( statements );
     std::vector<QuotaRate> rates;
     rates.reserve( m_words.size() );
     for( const auto& it : m_words ) {
@@ -79,27 +80,27 @@
     m_holders.setRates( 0, rates );
 }
 
-bool LimitBook::setCandidates( std::span<const HolderCandidate> candidates, int gateways,
-                               MonoTime now ) {
+bool GatewayLimits::setCandidates( std::span<const HolderCandidate> candidates, int gateways,
+                                   MonoTime now ) {
     m_gateways = gateways;
     return m_holders.setCandidates( candidates, gateways, now );
 }
 
-std::optional<LimitNews> LimitBook::takeNews( const std::string& candidate, MonoTime now ) {
-    LimitNews out;
+std::optional<LimitUpdate> GatewayLimits::takeUpdate( const std::string& candidate, MonoTime now ) {
+    LimitUpdate out;
     out.gateways = m_gateways;
-    for( const auto& rate : m_holders.newsFor( candidate ).rates ) {
-        out.words.push_back( m_words.at( rate.organisation ) );
+    for( const auto& rate : m_holders.updateFor( candidate ).rates ) {
+        out.statements.push_back( m_words.at( rate.organisation ) );
     }
-    if( out.words.empty() && !m_told.contains( candidate ) ) {
+    if( out.statements.empty() && !m_told.contains( candidate ) ) {
         return std::nullopt;
     }
-    if( out.words.empty() ) {
+    if( out.statements.empty() ) {
         m_told.erase( candidate );
     } else {
         m_told.insert( candidate );
     }
-    m_holders.noteTold( candidate, now );
+    m_holders.noteUpdateSent( candidate, now );
     return out;
 }
 
--- a/src/decide/limit_book.hpp
+++ b/src/decide/gateway_limits.hpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
 
+#include "decide/gateway_quotas.hpp"
 #include "decide/limit.hpp"
-#include "decide/quota_book.hpp"
-#include "decide/turns.hpp"
+#include "decide/send_schedule.hpp"
 #include "decide/upstream_limit.hpp"
 
 #include <algorithm>
@@ -20,17 +20,17 @@
 //! One gateway's side of the limit of one start of an upstream.
 struct LimitState {
     UpstreamLimit known;
-    Turns turns;        //!< while no holder can be asked
-    MonoTime fullUntil; //!< it had no room; to be looked at again then
-    MonoTime comeBack;  //!< when those are to come back who find no room now
+    SendSchedule sendSchedule; //!< while no holder can be asked
+    MonoTime fullUntil;        //!< it had no room; to be looked at again then
+    MonoTime retryAt;          //!< when those are to come back who find no room now
 
     //! Until there may be room; 0: nothing speaks against asking.
     Millis fullLeft( MonoTime now ) const {
         return known.perS() ? remaining( now, fullUntil ) : Millis{ 0 };
     }
     //! When to come back, for a request that finds no room.
-    Millis comeBackLeft( MonoTime now ) const {
-        return std::max( fullLeft( now ), remaining( now, comeBack ) );
+    Millis retryLeft( MonoTime now ) const {
+        return std::max( fullLeft( now ), remaining( now, retryAt ) );
     }
 };
 
@@ -55,21 +55,21 @@
 
 //! Follows what a holder answered to a question asked at `asked`, nullopt when nobody could be
 //! asked. `gateways` are about, this one included.
-LimitDecision followLimit( LimitState& state, const std::optional<LimitAnswer>& answer,
-                           int gateways, MonoTime asked, MonoTime now );
+LimitDecision applyLimitAnswer( LimitState& state, const std::optional<LimitAnswer>& answer,
+                                int gateways, MonoTime asked, MonoTime now );
 
 //! True while there is a word to be given: the limit is in force, or has ended lately.
-bool concerns( const UpstreamLimit& known, MonoTime now );
+bool isReportable( const UpstreamLimit& known, MonoTime now );
 
 //! Whom one gateway asks for which limit, and what the holders are told.
-class LimitBook {
+class GatewayLimits {
 public:
-    using Words = std::map<std::string, LimitWord>; //!< by start of an upstream
+    using Statements = std::map<std::string, LimitStatement>; //!< by start of an upstream
 
-    LimitBook() : m_holders( QuotaRule{} ) {}
+    GatewayLimits() : m_holders( QuotaRule{} ) {}
 
     //! What this gateway knows of limits now.
-    void setWords( Words words );
+    void setStatements( Statements statements );
     bool knows( const std::string& start ) const { return m_words.contains( start ); }
     //! True when there is nothing to tell anybody.
     bool idle() const { return m_words.empty() && m_told.empty(); }
@@ -81,15 +81,15 @@
         return m_holders.holderOf( start, now );
     }
     //! What a candidate that can be told now is to be told, if anything. It counts as told.
-    std::optional<LimitNews> takeNews( const std::string& candidate, MonoTime now );
+    std::optional<LimitUpdate> takeUpdate( const std::string& candidate, MonoTime now );
 
 private:
-    QuotaBook m_holders; //!< chooses them as it does for organisations
-    Words m_words;
+    GatewayQuotas m_holders; //!< chooses them as it does for organisations
+    Statements m_words;
     std::set<std::string> m_told; //!< candidates that count this gateway
     int m_gateways = 1;
 };
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_LIMIT_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_GATEWAY_LIMITS_HPP_INCLUDED
--- a/src/decide/quota_book.cpp
+++ b/src/decide/gateway_quotas.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/quota_book.hpp"
+#include "decide/gateway_quotas.hpp"
 
 #include "kernel/hash.hpp"
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-void QuotaBook::setRates( std::uint64_t version, std::span<const QuotaRate> rates ) {
+void GatewayQuotas::setRates( std::uint64_t version, std::span<const QuotaRate> rates ) {
     m_version = version;
     std::set<std::string_view> named;
     for( const auto& it : rates ) {
@@ -30,7 +30,7 @@
     std::erase_if( m_accounts, [&]( const auto& it ) { return !named.contains( it.first ); } );
 }
 
-void QuotaBook::chooseHolder( Account& account, MonoTime now ) {
+void GatewayQuotas::chooseHolder( Account& account, MonoTime now ) {
     const std::string* best = nullptr;
     std::uint64_t bestScore = 0;
     for( const auto& it : m_answering ) {
@@ -54,8 +54,8 @@
     account.unused = 0;
 }
 
-bool QuotaBook::setCandidates( std::span<const HolderCandidate> candidates, int gateways,
-                               MonoTime now ) {
+bool GatewayQuotas::setCandidates( std::span<const HolderCandidate> candidates, int gateways,
+                                   MonoTime now ) {
     m_gateways = gateways;
     std::vector<std::string> answering;
     for( const auto& it : candidates ) {
@@ -87,8 +87,8 @@
     return changed;
 }
 
-QuotaNews QuotaBook::newsFor( std::string_view candidate ) const {
-    QuotaNews out;
+QuotaUpdate GatewayQuotas::updateFor( std::string_view candidate ) const {
+    QuotaUpdate out;
     out.version = m_version;
     out.gateways = m_gateways;
     for( const auto& [name, account] : m_accounts ) {
@@ -99,18 +99,18 @@
     return out;
 }
 
-void QuotaBook::noteTold( std::string_view candidate, MonoTime now ) {
+void GatewayQuotas::noteUpdateSent( std::string_view candidate, MonoTime now ) {
     m_told[std::string( candidate )] = now;
 }
 
-void QuotaBook::expire( Account& account, MonoTime now ) {
+void GatewayQuotas::expire( Account& account, MonoTime now ) {
     while( !account.lots.empty() && account.lots.front().expires <= now ) {
         account.unused += account.lots.front().units;
         account.lots.pop_front();
     }
 }
 
-std::vector<QuotaBook::Unused> QuotaBook::takeUnused( MonoTime now ) {
+std::vector<GatewayQuotas::Unused> GatewayQuotas::takeUnused( MonoTime now ) {
     std::vector<Unused> out;
     for( auto& [name, account] : m_accounts ) {
         expire( account, now );
@@ -122,7 +122,7 @@
     return out;
 }
 
-bool QuotaBook::spend( std::string_view organisation, double units, MonoTime now ) {
+bool GatewayQuotas::spend( std::string_view organisation, double units, MonoTime now ) {
     const auto it = m_accounts.find( organisation );
     if( it == m_accounts.end() ) {
         return true;
@@ -148,7 +148,7 @@
     return true;
 }
 
-std::string QuotaBook::holderOf( std::string_view organisation, MonoTime now ) const {
+std::string GatewayQuotas::holderOf( std::string_view organisation, MonoTime now ) const {
     const auto it = m_accounts.find( organisation );
     const bool usable =
         it != m_accounts.end() && now >= it->second.usableFrom &&
@@ -156,7 +156,7 @@
     return usable ? it->second.holder : std::string();
 }
 
-double QuotaBook::wishFor( std::string_view organisation, double units, MonoTime now ) {
+double GatewayQuotas::amountToRequest( std::string_view organisation, double units, MonoTime now ) {
     const auto it = m_accounts.find( organisation );
     if( it == m_accounts.end() ) {
         return units;
@@ -168,14 +168,14 @@
     return units + account.perS * aheadS;
 }
 
-void QuotaBook::keep( std::string_view organisation, double units, MonoTime asked ) {
+void GatewayQuotas::addGrant( std::string_view organisation, double units, MonoTime asked ) {
     const auto it = m_accounts.find( organisation );
     if( it != m_accounts.end() && units > 0 ) {
         it->second.lots.push_back( { units, asked + quotaLease } );
     }
 }
 
-bool QuotaBook::spendReserve( std::string_view organisation, double units, MonoTime now ) {
+bool GatewayQuotas::spendReserve( std::string_view organisation, double units, MonoTime now ) {
     const auto it = m_accounts.find( organisation );
     if( it == m_accounts.end() ) {
         return true;
--- a/src/decide/quota_book.hpp
+++ b/src/decide/gateway_quotas.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
 
 #include "decide/quota.hpp"
 
@@ -24,9 +24,9 @@
  * One gateway's side of the quotas: whom it asks for an organisation, what it was granted and has
  * not spent, and what it may spend when no holder can be asked.
  */
-class QuotaBook {
+class GatewayQuotas {
 public:
-    explicit QuotaBook( const QuotaRule& rule ) : m_rule( rule ) {}
+    explicit GatewayQuotas( const QuotaRule& rule ) : m_rule( rule ) {}
 
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
     //! The limits in force; organisations that are not named have none.
@@ -35,18 +35,18 @@
     //! news should go out at once.
     bool setCandidates( std::span<const HolderCandidate> candidates, int gateways, MonoTime now );
     //! What a candidate is to be told.
-    QuotaNews newsFor( std::string_view candidate ) const;
+    QuotaUpdate updateFor( std::string_view candidate ) const;
     //! It was told.
-    void noteTold( std::string_view candidate, MonoTime now );
+    void noteUpdateSent( std::string_view candidate, MonoTime now );
 
     //! Spends what was granted before; false when that is not enough.
     bool spend( std::string_view organisation, double units, MonoTime now );
     //! Whom to ask for more; empty while nobody can be asked.
     std::string holderOf( std::string_view organisation, MonoTime now ) const;
     //! How many units to ask for, so that one question serves what comes next as well.
-    double wishFor( std::string_view organisation, double units, MonoTime now );
+    double amountToRequest( std::string_view organisation, double units, MonoTime now );
     //! Keeps what was granted to a question asked at `asked`.
-    void keep( std::string_view organisation, double units, MonoTime asked );
+    void addGrant( std::string_view organisation, double units, MonoTime asked );
     //! What was granted and not spent in time, to be given back to its holders.
     struct Unused {
         std::string holder;
@@ -93,4 +93,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_QUOTA_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_GATEWAY_QUOTAS_HPP_INCLUDED
--- a/src/decide/limit.cpp
+++ b/src/decide/limit.cpp
@@ -16,21 +16,21 @@
 
 } // namespace
 
-LimitWord wordOf( std::string start, const UpstreamLimit& known, MonoTime now ) {
-    LimitWord out;
+LimitStatement statementOf( std::string start, const UpstreamLimit& known, MonoTime now ) {
+    LimitStatement out;
     out.start = std::move( start );
     out.perS = known.lastPerS();
-    out.namedMs = millisBetween( known.namedAt(), now );
-    out.noneMs = known.noneAt() == MonoTime{} ? -1 : millisBetween( known.noneAt(), now );
+    out.namedAgoMs = millisBetween( known.namedAt(), now );
+    out.noneAgoMs = known.noneAt() == MonoTime{} ? -1 : millisBetween( known.noneAt(), now );
     return out;
 }
 
-bool takeWord( UpstreamLimit& known, const LimitWord& word, MonoTime now ) {
+bool applyStatement( UpstreamLimit& known, const LimitStatement& statement, MonoTime now ) {
     const auto before = known.perS();
-    const double perS = word.perS >= 0 ? word.perS : 0;
-    known.noteNamed( perS, timeAgo( word.namedMs, now ) );
-    if( word.noneMs >= 0 ) {
-        known.noteNone( timeAgo( word.noneMs, now ), now );
+    const double perS = statement.perS >= 0 ? statement.perS : 0;
+    known.noteNamed( perS, timeAgo( statement.namedAgoMs, now ) );
+    if( statement.noneAgoMs >= 0 ) {
+        known.noteNone( timeAgo( statement.noneAgoMs, now ), now );
     }
     return before != known.perS();
 }
--- a/src/decide/limit.hpp
+++ b/src/decide/limit.hpp
@@ -20,31 +20,31 @@
 namespace coursehead::decide {
 
 //! What a gateway knows of the limit of one start of an upstream.
-struct LimitWord {
-    std::string start;        //!< names the upstream and its start
-    double perS = 0;          //!< requests a second
-    std::int64_t namedMs = 0; //!< so long ago it was last named
-    std::int64_t noneMs = -1; //!< so long ago the last request was sent whose answer named none;
-                              //!< negative: there was none
+struct LimitStatement {
+    std::string start;           //!< names the upstream and its start
+    double perS = 0;             //!< requests a second
+    std::int64_t namedAgoMs = 0; //!< so long ago it was last named
+    std::int64_t noneAgoMs = -1; //!< so long ago the last request was sent whose answer named none;
+                                 //!< negative: there was none
 };
 
 //! A gateway tells a holder which limits it keeps there; regularly, and on change. Those that have
 //! ended lately are among them.
-struct LimitNews {
+struct LimitUpdate {
     std::string gateway;
     int gateways = 1; //!< as many as it knows to be about
-    std::vector<LimitWord> words;
+    std::vector<LimitStatement> statements;
 };
 
 //! The word on what is known of a limit that was named at some time.
-LimitWord wordOf( std::string start, const UpstreamLimit& known, MonoTime now );
+LimitStatement statementOf( std::string start, const UpstreamLimit& known, MonoTime now );
 //! Takes a word that has come now; true when it changes what is known.
-bool takeWord( UpstreamLimit& known, const LimitWord& word, MonoTime now );
+bool applyStatement( UpstreamLimit& known, const LimitStatement& statement, MonoTime now );
 
 //! Asks for leave to send one request.
-struct LimitAsk {
+struct LimitRequest {
     std::uint64_t number = 0; //!< of this gateway; the answer repeats it
-    LimitWord word;
+    LimitStatement statement;
 };
 
 enum class LimitVerdict {
@@ -56,7 +56,7 @@
 struct LimitAnswer {
     std::uint64_t number = 0;
     LimitVerdict verdict = LimitVerdict::unknown;
-    std::int64_t roomMs = 0; //!< full: until there is room, for whoever asks first
+    std::int64_t earliestWaitMs = 0; //!< full: until there is room, for whoever asks first
     std::int64_t waitMs = 0; //!< full: until there is room behind those who were told so before
 };
 
--- a/src/decide/limit_holder.cpp
+++ b/src/decide/limit_holder.cpp
@@ -28,50 +28,50 @@
     m_buckets.setRule( limitRule );
 }
 
-LimitHolder::Limit& LimitHolder::note( const LimitWord& word, MonoTime now ) {
-    auto& out = m_limits[word.start];
+LimitHolder::Limit& LimitHolder::note( const LimitStatement& statement, MonoTime now ) {
+    auto& out = m_limits[statement.start];
     out.heard = now;
-    out.changed = takeWord( out.known, word, now ) || out.changed;
+    out.changed = applyStatement( out.known, statement, now ) || out.changed;
     return out;
 }
 
-std::vector<LimitWord> LimitHolder::takeChanges( MonoTime now ) {
-    std::vector<LimitWord> out;
+std::vector<LimitStatement> LimitHolder::takeChanges( MonoTime now ) {
+    std::vector<LimitStatement> out;
     for( auto& [start, limit] : m_limits ) {
         if( std::exchange( limit.changed, false ) ) {
-            out.push_back( wordOf( start, limit.known, now ) );
+            out.push_back( statementOf( start, limit.known, now ) );
         }
     }
     return out;
 }
 
-void LimitHolder::takeNews( const LimitNews& news, MonoTime now ) {
-    QuotaNews kept;
+void LimitHolder::takeUpdate( const LimitUpdate& news, MonoTime now ) {
+    QuotaUpdate kept;
     kept.gateway = news.gateway;
     kept.gateways = news.gateways;
-    for( const auto& it : news.words ) {
+    for( const auto& it : news.statements ) {
         const auto& known = note( it, now ).known;
         UpstreamLimit own;
-        takeWord( own, it, now );
+        applyStatement( own, it, now );
         if( own.perS() ) {
             kept.rates.push_back( rateOf( it.start, known.lastPerS() ) );
         }
     }
-    m_buckets.takeNews( kept, now );
+    m_buckets.takeUpdate( kept, now );
     forgetOld( now );
 }
 
-LimitAnswer LimitHolder::ask( const std::string& gateway, const LimitAsk& ask, MonoTime now ) {
+LimitAnswer LimitHolder::ask( const std::string& gateway, const LimitRequest& ask, MonoTime now ) {
     LimitAnswer out;
     out.number = ask.number;
-    if( !note( ask.word, now ).known.perS() ) {
+    if( !note( ask.statement, now ).known.perS() ) {
         out.verdict = LimitVerdict::ended;
         return out;
     }
-    QuotaAsk unit;
-    unit.organisation = ask.word.start;
+    QuotaRequest unit;
+    unit.organisation = ask.statement.start;
     unit.needed = 1;
-    unit.wished = 1;
+    unit.preferred = 1;
     const auto answer = m_buckets.ask( gateway, unit, now );
     if( !answer.known ) {
         return out;
@@ -81,13 +81,13 @@
         return out;
     }
     out.verdict = LimitVerdict::full;
-    out.roomMs = std::max<std::int64_t>( answer.roomMs, 1 );
-    out.waitMs = std::max( answer.waitMs, out.roomMs );
+    out.earliestWaitMs = std::max<std::int64_t>( answer.earliestWaitMs, 1 );
+    out.waitMs = std::max( answer.waitMs, out.earliestWaitMs );
     return out;
 }
 
-void LimitHolder::takeBack( const LimitReturn& back, MonoTime now ) {
-    m_buckets.takeBack( { back.start, 1 }, now );
+void LimitHolder::acceptReturn( const LimitReturn& back, MonoTime now ) {
+    m_buckets.acceptReturn( { back.start, 1 }, now );
 }
 
 void LimitHolder::forgetOld( MonoTime now ) {
--- a/src/decide/limit_holder.hpp
+++ b/src/decide/limit_holder.hpp
@@ -17,12 +17,12 @@
     LimitHolder();
 
     //! A gateway says which limits it keeps here; replaces what it said before.
-    void takeNews( const LimitNews& news, MonoTime now );
-    LimitAnswer ask( const std::string& gateway, const LimitAsk& ask, MonoTime now );
-    void takeBack( const LimitReturn& back, MonoTime now );
+    void takeUpdate( const LimitUpdate& news, MonoTime now );
+    LimitAnswer ask( const std::string& gateway, const LimitRequest& ask, MonoTime now );
+    void acceptReturn( const LimitReturn& back, MonoTime now );
     //! What has become known since the last call, for all gateways to hear: an upstream in need
     //! would else get a first request from each of them.
-    std::vector<LimitWord> takeChanges( MonoTime now );
+    std::vector<LimitStatement> takeChanges( MonoTime now );
 
     std::size_t size() const noexcept { return m_limits.size(); }
 
@@ -33,7 +33,7 @@
         bool changed = false; //!< since takeChanges()
     };
 
-    Limit& note( const LimitWord& word, MonoTime now );
+    Limit& note( const LimitStatement& statement, MonoTime now );
     void forgetOld( MonoTime now );
 
     QuotaHolder m_buckets; //!< by start; a unit is a request
--- a/src/decide/link_choice.cpp
+++ b/src/decide/link_choice.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-std::vector<bool> commonAmong( std::span<const LinkCandidate> candidates ) {
-    std::vector<bool> out( candidates.size(), candidates.size() <= usualLinks );
-    if( candidates.size() <= usualLinks ) {
+std::vector<bool> commonSidecars( std::span<const LinkCandidate> candidates ) {
+    std::vector<bool> out( candidates.size(), candidates.size() <= targetLinks );
+    if( candidates.size() <= targetLinks ) {
         return out;
     }
     std::vector<std::pair<std::uint64_t, std::size_t>> order;
@@ -52,7 +52,7 @@
 }
 
 LinkChanges chooseLinks( std::span<const LinkCandidate> candidates, std::string_view gateway ) {
-    auto kept = commonAmong( candidates );
+    auto kept = commonSidecars( candidates );
     LinkChanges out;
     std::size_t links = 0;
     for( std::size_t n = 0; n < candidates.size(); ++n ) {
@@ -68,11 +68,11 @@
         if( kept[n] ) {
             continue;
         }
-        if( it.open && links >= mostLinks ) {
+        if( it.open && links >= maxLinks ) {
             out.close.push_back( n );
         } else if( it.open ) {
             ++links;
-        } else if( links < usualLinks && !it.failing ) {
+        } else if( links < targetLinks && !it.failing ) {
             out.open.push_back( n );
             ++links;
         }
--- a/src/decide/link_choice.hpp
+++ b/src/decide/link_choice.hpp
@@ -16,9 +16,9 @@
 namespace coursehead::decide {
 
 //! Connections that a gateway has at rest. Where there are fewer sidecars it is connected to all.
-inline constexpr std::size_t usualLinks = 64;
+inline constexpr std::size_t targetLinks = 64;
 //! Unused connections are closed above this, so that those that come and go with use close none.
-inline constexpr std::size_t mostLinks = 80;
+inline constexpr std::size_t maxLinks = 80;
 //! Sidecars that every gateway is connected to: they see how many gateways there are, can tell all
 //! of them something at once, and hold what gateways count together.
 inline constexpr std::size_t commonLinks = 16;
@@ -43,7 +43,7 @@
 
 //! Which sidecars all gateways are connected to; each gateway finds the same ones. All of them
 //! where there are few.
-std::vector<bool> commonAmong( std::span<const LinkCandidate> candidates );
+std::vector<bool> commonSidecars( std::span<const LinkCandidate> candidates );
 
 //! Those in use stay; the nearest are opened beside them, spread evenly over the gateways.
 LinkChanges chooseLinks( std::span<const LinkCandidate> candidates, std::string_view gateway );
--- a/src/decide/recall.cpp
+++ b/src/decide/model_restore.cpp
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/recall.hpp"
+#include "decide/model_restore.hpp"
 
 #include <algorithm>
 
 namespace coursehead::decide {
 
-std::optional<std::string>
-takeNext( Recall& recall, const std::function<bool( std::string_view )>& isNear, double draw ) {
-    auto& models = recall.models;
-    std::erase_if( models, [&]( const FormerModel& it ) { return !isNear( it.model ); } );
+std::optional<std::string> takeNextModel( ModelRestore& modelRestore,
+                                          const std::function<bool( std::string_view )>& isLocal,
+                                          double draw ) {
+    auto& models = modelRestore.models;
+    std::erase_if( models, [&]( const PreviousModel& it ) { return !isLocal( it.model ); } );
     if( models.empty() ) {
         return std::nullopt;
     }
-    const bool wanted = recall.everywhere;
+    const bool wanted = modelRestore.allEngines;
     const auto first =
-        std::stable_partition( models.begin(), models.end(), [wanted]( const FormerModel& it ) {
+        std::stable_partition( models.begin(), models.end(), [wanted]( const PreviousModel& it ) {
             return ( it.copies > 1 ) == wanted;
         } );
     const auto count = first == models.begin() ? models.size()
--- a/src/decide/recall.hpp
+++ b/src/decide/model_restore.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_RECALL_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_RECALL_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_MODEL_RESTORE_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_MODEL_RESTORE_HPP_INCLUDED
 
 #include <functional>
 #include <optional>
@@ -16,26 +16,27 @@
 namespace coursehead::decide {
 
 //! A model that an engine held before.
-struct FormerModel {
+struct PreviousModel {
     std::string model;
     int copies = 1; //!< in the fleet then
 };
 
-struct Recall {
-    std::vector<FormerModel> models; //!< those still to be taken in
-    bool everywhere = false;         //!< all engines started anew, not this one alone
+struct ModelRestore {
+    std::vector<PreviousModel> models; //!< those still to be taken in
+    bool allEngines = false;           //!< all engines started anew, not this one alone
 };
 
 /**
- * The next model to take in; it is removed from `recall`, with all that `isNear` denies (its
+ * The next model to take in; it is removed from `modelRestore`, with all that `isLocal` denies (its
  * weights are not on this VM: the weight store's rate is for requests). Where all engines are empty
  * the busy models go first, those with several copies: the first at each engine by `draw` in [0,
  * 1), so that over the fleet each gets its part. Where one engine is, the models that nobody else
  * holds.
  */
-std::optional<std::string>
-takeNext( Recall& recall, const std::function<bool( std::string_view )>& isNear, double draw );
+std::optional<std::string> takeNextModel( ModelRestore& modelRestore,
+                                          const std::function<bool( std::string_view )>& isLocal,
+                                          double draw );
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_RECALL_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_MODEL_RESTORE_HPP_INCLUDED
--- a/src/decide/poison.cpp
+++ b/src/decide/poison.cpp
@@ -19,24 +19,24 @@
 
 } // namespace
 
-double weightOf( std::int64_t eventsMs ) {
-    return eventsMs >= provenAfter.count() ? provenWeight : 1.0;
+double evidenceWeight( std::int64_t eventsMs ) {
+    return eventsMs >= longRunTime.count() ? provenWeight : 1.0;
 }
 
-Millis holdOf( int times ) {
+Millis quarantineDuration( int times ) {
     const auto last = static_cast<int>( holds.size() ) - 1;
     return holds[static_cast<std::size_t>( std::clamp( times - 1, 0, last ) )];
 }
 
-std::vector<std::size_t> holdersOf( Fingerprint fingerprint,
-                                    std::span<const std::string_view> candidates ) {
+std::vector<std::size_t> poisonHolders( Fingerprint fingerprint,
+                                        std::span<const std::string_view> candidates ) {
     const auto key = std::to_string( fingerprint );
     std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
     ranked.reserve( candidates.size() );
     for( std::size_t n = 0; n < candidates.size(); ++n ) {
         ranked.emplace_back( hash64( candidates[n], key ), n );
     }
-    const auto count = std::min( holdersOfEach, ranked.size() );
+    const auto count = std::min( holdersPerContent, ranked.size() );
     const auto end = ranked.begin() + static_cast<std::ptrdiff_t>( count );
     std::partial_sort( ranked.begin(), end, ranked.end() );
     std::vector<std::size_t> out;
--- a/src/decide/poison.hpp
+++ b/src/decide/poison.hpp
@@ -27,17 +27,17 @@
 //! Upstreams that have to end under a content until it is quarantined. Two would take those for it
 //! that ran beside a poison request twice, 18 of 96 by the logs of nine seconds; each more costs an
 //! upstream.
-inline constexpr double enoughEnds = 3;
+inline constexpr double quarantineThreshold = 3;
 //! Who ran this long, making events, has shown that it can be run. It counts for half, not for
 //! nothing: some might end an upstream late, and six ends are the most that may be.
-inline constexpr Millis provenAfter{ 1000 };
+inline constexpr Millis longRunTime{ 1000 };
 inline constexpr double provenWeight = 0.5;
 //! Processes that count a content's ends. An engine that ends takes the gateways' links to the
 //! process beside it with it for seconds, so one is not enough.
-inline constexpr std::size_t holdersOfEach = 3;
+inline constexpr std::size_t holdersPerContent = 3;
 
 //! A request that was running at an upstream when that ended.
-struct BrokenRun {
+struct InterruptedRun {
     Fingerprint fingerprint = 0;
     double weight = 1;   //!< as evidence
     int quarantines = 0; //!< that its content has had before
@@ -46,7 +46,7 @@
 //! A gateway tells holders of an upstream's end.
 struct PoisonEvidence {
     std::string upstreamId;
-    std::vector<BrokenRun> runs;
+    std::vector<InterruptedRun> runs;
 };
 
 //! A gateway tells holders that a content has run to its end: it is not poison.
@@ -64,20 +64,20 @@
 };
 
 //! What a holder, or the store, knows to be quarantined.
-struct QuarantineNews {
+struct QuarantineUpdate {
     std::vector<Quarantine> entries;
 };
 
 //! What a broken run counts for, by how long its upstream had made events for it; negative: none.
-double weightOf( std::int64_t eventsMs );
+double evidenceWeight( std::int64_t eventsMs );
 
 //! How long a quarantine lasts. After each of the first ones the content gets one more try, in case
 //! that it is cured; there are three such tries at the most.
-Millis holdOf( int times );
+Millis quarantineDuration( int times );
 
 //! The candidates that count a content's ends: the first few by rendezvous hashing.
-std::vector<std::size_t> holdersOf( Fingerprint fingerprint,
-                                    std::span<const std::string_view> candidates );
+std::vector<std::size_t> poisonHolders( Fingerprint fingerprint,
+                                        std::span<const std::string_view> candidates );
 
 } // namespace coursehead::decide
 
--- a/src/decide/poison_book.cpp
+++ b/src/decide/poison_counter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/poison_book.hpp"
+#include "decide/poison_counter.hpp"
 
 #include "kernel/hash.hpp"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-PoisonBook::Case& PoisonBook::caseOf( Fingerprint fingerprint ) {
+PoisonCounter::Case& PoisonCounter::caseOf( Fingerprint fingerprint ) {
     const auto it = m_cases.find( fingerprint );
     if( it != m_cases.end() ) {
         m_oldestFirst.splice( m_oldestFirst.end(), m_oldestFirst, it->second.age );
@@ -34,8 +34,8 @@
     return out;
 }
 
-std::optional<Quarantine> PoisonBook::note( const BrokenRun& run, std::string_view upstreamId,
-                                            MonoTime now ) {
+std::optional<Quarantine> PoisonCounter::note( const InterruptedRun& run,
+                                               std::string_view upstreamId, MonoTime now ) {
     auto& found = caseOf( run.fingerprint );
     const auto upstream = hash64( upstreamId );
     const bool known = std::any_of( found.ends.begin(), found.ends.end(), [&]( const End& it ) {
@@ -56,10 +56,10 @@
     }
     const int times = run.quarantines + 1;
     clear( run.fingerprint );
-    return Quarantine{ run.fingerprint, times, holdOf( times ).count() };
+    return Quarantine{ run.fingerprint, times, quarantineDuration( times ).count() };
 }
 
-bool PoisonBook::clear( Fingerprint fingerprint ) {
+bool PoisonCounter::clear( Fingerprint fingerprint ) {
     const auto it = m_cases.find( fingerprint );
     if( it == m_cases.end() ) {
         return false;
--- a/src/decide/poison_book.hpp
+++ b/src/decide/poison_counter.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
 
 #include "decide/poison.hpp"
 
@@ -11,14 +11,14 @@
 namespace coursehead::decide {
 
 //! The upstreams that ended under each content, as one process was told.
-class PoisonBook {
+class PoisonCounter {
 public:
     //! `enough` ends of weight 1 have a content quarantined.
-    explicit PoisonBook( double enough = enoughEnds ) : m_enough( enough ) {}
+    explicit PoisonCounter( double enough = quarantineThreshold ) : m_enough( enough ) {}
 
     //! Counts an upstream's end under a content; the quarantine that it is enough for, if so. Of
     //! one end several gateways may tell, and several requests of the same content.
-    std::optional<Quarantine> note( const BrokenRun& run, std::string_view upstreamId,
+    std::optional<Quarantine> note( const InterruptedRun& run, std::string_view upstreamId,
                                     MonoTime now );
     //! The content has run to its end; true when ends were counted under it.
     bool clear( Fingerprint fingerprint );
@@ -45,4 +45,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_POISON_BOOK_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_POISON_COUNTER_HPP_INCLUDED
--- a/src/decide/quota.hpp
+++ b/src/decide/quota.hpp
@@ -46,7 +46,7 @@
 inline constexpr double startPart = 0.2;
 
 //! A gateway tells a holder which organisations it obtains from there; regularly, and on change.
-struct QuotaNews {
+struct QuotaUpdate {
     std::string gateway;
     std::uint64_t version = 0; //!< of the configuration that the limits are from
     int gateways = 1;          //!< as many as it knows to be about
@@ -54,20 +54,20 @@
 };
 
 //! Asks for units of an organisation's limit.
-struct QuotaAsk {
+struct QuotaRequest {
     std::uint64_t number = 0; //!< of this gateway; the answer repeats it
     std::string organisation;
-    double needed = 0;           //!< less is of no use
-    double wished = 0;           //!< with what is expected next; `needed` at least
-    std::int64_t patienceMs = 0; //!< it may have to wait this long
+    double needed = 0;          //!< less is of no use
+    double preferred = 0;       //!< with what is expected next; `needed` at least
+    std::int64_t maxWaitMs = 0; //!< it may have to wait this long
 };
 
 struct QuotaAnswer {
     std::uint64_t number = 0;
-    bool known = false;      //!< this holder knows the organisation's limit
-    double granted = 0;      //!< 0: beyond the limit
-    std::int64_t waitMs = 0; //!< until it may be spent; if not granted, until there is room
-    std::int64_t roomMs = 0; //!< not granted: until there is room, for whoever asks first
+    bool known = false;              //!< this holder knows the organisation's limit
+    double granted = 0;              //!< 0: beyond the limit
+    std::int64_t waitMs = 0;         //!< until it may be spent; if not granted, until there is room
+    std::int64_t earliestWaitMs = 0; //!< not granted: until there is room, for whoever asks first
 };
 
 //! Units that were granted and not used.
--- a/src/decide/quota_bucket.cpp
+++ b/src/decide/quota_bucket.cpp
@@ -42,7 +42,8 @@
     bucket.at = now;
 }
 
-QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaAsk& ask, MonoTime now ) {
+QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaRequest& ask,
+                 MonoTime now ) {
     refill( bucket, rate, now );
     if( rate.perS <= 0 ) {
         const auto longest = timeFor( longestPromiseS, 1 );
@@ -51,19 +52,19 @@
     const double missing = std::min( ask.needed, rate.burst ) - bucket.level;
     const Millis wait = missing <= 0 ? Millis{ 0 } : timeFor( missing, rate.perS );
     const bool young = now - bucket.since < youth;
-    if( wait > Millis( young ? ask.patienceMs : 0 ) ) {
+    if( wait > Millis( young ? ask.maxWaitMs : 0 ) ) {
         const auto told = timeFor( missing + bucket.promised, rate.perS );
         const double most = longestPromiseS * rate.perS;
         bucket.promised = std::min( bucket.promised + ask.needed, most );
         return { 0, told, wait };
     }
     const double spare = bucket.level - ask.needed - keptPart * rate.burst;
-    const double extra = std::clamp( ask.wished - ask.needed, 0.0, std::max( spare, 0.0 ) );
+    const double extra = std::clamp( ask.preferred - ask.needed, 0.0, std::max( spare, 0.0 ) );
     bucket.level -= ask.needed + extra;
     return { ask.needed + extra, wait };
 }
 
-void giveBack( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now ) {
+void refund( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now ) {
     refill( bucket, rate, now );
     bucket.level = std::min( bucket.level + std::max( units, 0.0 ), rate.burst );
 }
--- a/src/decide/quota_bucket.hpp
+++ b/src/decide/quota_bucket.hpp
@@ -24,7 +24,7 @@
 //! Counts a bucket up to `now`.
 void refill( QuotaBucket& bucket, const QuotaRate& rate, MonoTime now );
 /**
- * Takes `needed` units, and up to `wished` of them while the bucket is more than half full. A
+ * Takes `needed` units, and up to `preferred` of them while the bucket is more than half full. A
  * request larger than the burst is let in by a full bucket, and paid for afterwards. What does not
  * fit is refused, with a time at which there is room behind all that were refused before; it does
  * not wait, since units that it waits for would be missing to smaller requests that fit now (of an
@@ -32,8 +32,9 @@
  * new bucket, which is empty though its organisation may have asked for nothing, grants ahead what
  * can be spent within `patience`.
  */
-QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaAsk& ask, MonoTime now );
-void giveBack( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
+QuotaGrant take( QuotaBucket& bucket, const QuotaRate& rate, const QuotaRequest& ask,
+                 MonoTime now );
+void refund( QuotaBucket& bucket, const QuotaRate& rate, double units, MonoTime now );
 
 } // namespace coursehead::decide
 
--- a/src/decide/quota_holder.cpp
+++ b/src/decide/quota_holder.cpp
@@ -5,7 +5,7 @@
 
 namespace coursehead::decide {
 
-double QuotaHolder::partOf( std::string_view organisation, MonoTime now ) const {
+double QuotaHolder::shareOf( std::string_view organisation, MonoTime now ) const {
     int holdingTo = 0;
     int heard = 0;
     int told = 1;
@@ -23,13 +23,13 @@
 
 QuotaRate QuotaHolder::rateOf( const Account& account, MonoTime now ) const {
     QuotaRate out = account.rate;
-    const double part = partOf( out.organisation, now );
+    const double part = shareOf( out.organisation, now );
     out.perS *= part;
     out.burst *= part;
     return out;
 }
 
-void QuotaHolder::takeNews( const QuotaNews& news, MonoTime now ) {
+void QuotaHolder::takeUpdate( const QuotaUpdate& news, MonoTime now ) {
     std::erase_if( m_members,
                    [&]( const auto& it ) { return now - it.second.heard > m_rule.window; } );
     std::vector<std::string> organisations;
@@ -78,7 +78,7 @@
     }
 }
 
-QuotaAnswer QuotaHolder::ask( const std::string& gateway, const QuotaAsk& ask, MonoTime now ) {
+QuotaAnswer QuotaHolder::ask( const std::string& gateway, const QuotaRequest& ask, MonoTime now ) {
     QuotaAnswer out;
     out.number = ask.number;
     const auto it = m_accounts.find( ask.organisation );
@@ -103,14 +103,15 @@
     const auto grant = take( it->second.bucket, rateOf( it->second, now ), ask, now );
     out.granted = grant.units;
     out.waitMs = grant.wait.count();
-    out.roomMs = grant.room.count();
+    out.earliestWaitMs = grant.room.count();
     if( grant.units <= 0 ) {
         // While the links of a fleet that starts come up, a holder has a part of a hundredth or so,
         // and by that part a review would be told to come back after half a minute. By the time the
         // client is back the part is whole again, or the client asks elsewhere.
-        const double part = partOf( ask.organisation, now );
+        const double part = shareOf( ask.organisation, now );
         out.waitMs = static_cast<std::int64_t>( static_cast<double>( out.waitMs ) * part );
-        out.roomMs = static_cast<std::int64_t>( static_cast<double>( out.roomMs ) * part );
+        out.earliestWaitMs =
+            static_cast<std::int64_t>( static_cast<double>( out.earliestWaitMs ) * part );
     }
     return out;
 }
@@ -122,10 +123,10 @@
     }
 }
 
-void QuotaHolder::takeBack( const QuotaReturn& back, MonoTime now ) {
+void QuotaHolder::acceptReturn( const QuotaReturn& back, MonoTime now ) {
     const auto it = m_accounts.find( back.organisation );
     if( it != m_accounts.end() ) {
-        giveBack( it->second.bucket, rateOf( it->second, now ), back.units, now );
+        refund( it->second.bucket, rateOf( it->second, now ), back.units, now );
     }
 }
 
--- a/src/decide/quota_holder.hpp
+++ b/src/decide/quota_holder.hpp
@@ -20,16 +20,16 @@
     //! Gateways that were heard within the rule's window are about.
     void setRule( const QuotaRule& rule ) { m_rule = rule; }
     //! A gateway says what it obtains here; replaces what it said before.
-    void takeNews( const QuotaNews& news, MonoTime now );
+    void takeUpdate( const QuotaUpdate& news, MonoTime now );
     //! A gateway that asks holds to this process, however late its news are. One that did not say
     //! so lately is told that nothing is known here; from then on it belongs again.
-    QuotaAnswer ask( const std::string& gateway, const QuotaAsk& ask, MonoTime now );
-    void takeBack( const QuotaReturn& back, MonoTime now );
+    QuotaAnswer ask( const std::string& gateway, const QuotaRequest& ask, MonoTime now );
+    void acceptReturn( const QuotaReturn& back, MonoTime now );
     //! An account that nobody obtains from any more.
     void forget( std::string_view organisation );
 
     //! The part of an organisation's limit that is granted here.
-    double partOf( std::string_view organisation, MonoTime now ) const;
+    double shareOf( std::string_view organisation, MonoTime now ) const;
 
 private:
     struct Member {
--- a/src/decide/reading_queue.cpp
+++ b/src/decide/reading_queue.cpp
@@ -39,7 +39,7 @@
     return std::chrono::duration_cast<MonoTime::duration>( Work( std::max( workMs, 0.0 ) ) );
 }
 
-bool startsBefore( const ReadingAsk& a, const ReadingAsk& b ) {
+bool startsBefore( const ReadingRequest& a, const ReadingRequest& b ) {
     return a.startBy < b.startBy;
 }
 
@@ -67,14 +67,14 @@
     return free;
 }
 
-MonoTime ReadingQueue::place( Given& given, const ReadingAsk& ask, MonoTime now ) const {
+MonoTime ReadingQueue::place( Given& given, const ReadingRequest& ask, MonoTime now ) const {
     const auto start = startOf( given, ask.workMs, now );
     given.push_back( { ask.key, ask.workMs, start, start + engineTime( ask.workMs ), false } );
     return start;
 }
 
-ReadingQueue::Outlook ReadingQueue::outlook( std::span<const ReadingAsk> order, std::uint64_t key,
-                                             MonoTime now ) const {
+ReadingQueue::Outlook ReadingQueue::outlook( std::span<const ReadingRequest> order,
+                                             std::uint64_t key, MonoTime now ) const {
     Outlook out;
     Given given = m_given;
     for( const auto& it : order ) {
@@ -87,10 +87,10 @@
     return out;
 }
 
-ReadingVerdict ReadingQueue::ask( const ReadingAsk& ask, MonoTime now ) {
+ReadingVerdict ReadingQueue::ask( const ReadingRequest& ask, MonoTime now ) {
     forgetOld( now );
     // What is late already can't be made late by another one.
-    std::vector<ReadingAsk> order( m_waiting.begin(), m_waiting.end() );
+    std::vector<ReadingRequest> order( m_waiting.begin(), m_waiting.end() );
     const auto at = std::upper_bound( order.begin(), order.end(), ask, startsBefore );
     const bool inTimeBefore = outlook( order, ask.key, now ).allInTime;
     order.insert( at, ask );
@@ -110,7 +110,7 @@
     return startOf( m_given, m_waiting.front().workMs, now ) - sendAhead;
 }
 
-std::optional<ReadingAsk> ReadingQueue::takeNext( MonoTime now ) {
+std::optional<ReadingRequest> ReadingQueue::takeNext( MonoTime now ) {
     forgetOld( now );
     const auto at = nextAt( now );
     if( !at || *at > now ) {
@@ -122,11 +122,11 @@
     return out;
 }
 
-std::vector<ReadingAsk> ReadingQueue::takeLate( MonoTime now ) {
+std::vector<ReadingRequest> ReadingQueue::takeExpired( MonoTime now ) {
     forgetOld( now );
-    std::vector<ReadingAsk> out;
+    std::vector<ReadingRequest> out;
     Given given = m_given;
-    std::erase_if( m_waiting, [&]( const ReadingAsk& it ) {
+    std::erase_if( m_waiting, [&]( const ReadingRequest& it ) {
         const bool late = startOf( given, it.workMs, now ) > it.startBy + lateSlack;
         if( late ) {
             out.push_back( it );
--- a/src/decide/reading_queue.hpp
+++ b/src/decide/reading_queue.hpp
@@ -13,7 +13,7 @@
 namespace coursehead::decide {
 
 //! A prompt that asks to be read by an engine.
-struct ReadingAsk {
+struct ReadingRequest {
     std::uint64_t key = 0; //!< names it among all that ask
     double workMs = 0;     //!< reading it takes the engine about this long
     MonoTime startBy;      //!< later it is of no use to its request
@@ -44,11 +44,11 @@
     void setGapTarget( Millis gapTarget ) { m_gapTarget = gapTarget; }
 
     //! Queues a prompt, or says when it could begin.
-    ReadingVerdict ask( const ReadingAsk& ask, MonoTime now );
+    ReadingVerdict ask( const ReadingRequest& ask, MonoTime now );
     //! The next prompt when it may be sent now; it counts as given to the engine.
-    std::optional<ReadingAsk> takeNext( MonoTime now );
+    std::optional<ReadingRequest> takeNext( MonoTime now );
     //! Takes out those that will not start in time any more: the engine was slower than expected.
-    std::vector<ReadingAsk> takeLate( MonoTime now );
+    std::vector<ReadingRequest> takeExpired( MonoTime now );
     //! When takeNext() will give one; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const;
     //! Forgets a prompt that its request has no use for any more, queued or given but not yet read.
@@ -77,13 +77,13 @@
     using Given = std::deque<Span>;
 
     MonoTime startOf( const Given& given, double workMs, MonoTime earliest ) const;
-    MonoTime place( Given& given, const ReadingAsk& ask, MonoTime now ) const;
+    MonoTime place( Given& given, const ReadingRequest& ask, MonoTime now ) const;
     //! Whether all that wait start in time; with the start of the one named `key`.
     struct Outlook {
         bool allInTime = true;
         MonoTime start;
     };
-    Outlook outlook( std::span<const ReadingAsk> order, std::uint64_t key, MonoTime now ) const;
+    Outlook outlook( std::span<const ReadingRequest> order, std::uint64_t key, MonoTime now ) const;
     void forgetOld( MonoTime now );
     MonoTime::duration engineTime( double workMs ) const;
     void learnStretch( double readMs, MonoTime now );
@@ -94,7 +94,7 @@
     double m_namedMs = 0;
     std::optional<MonoTime> m_readingSince; //!< last report, if prompts were being read then
     Given m_given;                          //!< in order, without overlaps
-    std::deque<ReadingAsk> m_waiting;       //!< the one that has to start first at the front
+    std::deque<ReadingRequest> m_waiting;   //!< the one that has to start first at the front
 };
 
 } // namespace coursehead::decide
--- a/src/decide/replica_rule.cpp
+++ b/src/decide/replica_rule.cpp
@@ -21,8 +21,8 @@
     return load.copies > 0 ? load.workPerS / ( millisPerSecond * load.copies ) : 0;
 }
 
-bool wantsReplica( const ModelLoad& load, int gateways, double draw, MonoTime now ) {
-    const bool known = load.copies > 0 && now - load.toldAt <= loadAge;
+bool shouldAddReplica( const ModelLoad& load, int gateways, double draw, MonoTime now ) {
+    const bool known = load.copies > 0 && now - load.reportedAt <= loadAge;
     if( !known || now - load.lastReplica < replicaPause ) {
         return false;
     }
--- a/src/decide/replica_rule.hpp
+++ b/src/decide/replica_rule.hpp
@@ -11,7 +11,7 @@
 //! How much a model is asked for, and where it lies.
 struct ModelLoad {
     double workPerS = 0;  //!< milliseconds of prompt reading a second, over all gateways
-    MonoTime toldAt;      //!< when a sidecar beside one of the copies said so
+    MonoTime reportedAt;  //!< when a sidecar beside one of the copies said so
     int copies = 0;       //!< as the sidecars report
     MonoTime lastReplica; //!< when this gateway last had one added
 };
@@ -28,7 +28,7 @@
  * looks like one at every gateway: models with ten requests in half a minute were given five
  * copies, and 300 of 350 loads pushed out another model.
  */
-bool wantsReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
+bool shouldAddReplica( const ModelLoad& load, int gateways, double draw, MonoTime now );
 
 } // namespace coursehead::decide
 
--- a/src/decide/turns.cpp
+++ b/src/decide/send_schedule.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/turns.hpp"
+#include "decide/send_schedule.hpp"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 
 } // namespace
 
-Millis Turns::wait( double perS, MonoTime now ) const {
+Millis SendSchedule::wait( double perS, MonoTime now ) const {
     const double periodMs =
         perS > 0 ? std::min( millisPerSecond / perS, longestPeriodMs ) : longestPeriodMs;
     const auto period = std::chrono::duration_cast<MonoTime::duration>(
--- a/src/decide/turns.hpp
+++ b/src/decide/send_schedule.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
-#define COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
+#ifndef COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
+#define COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
 
 #include "coursehead/kernel/clock.hpp"
 
@@ -15,10 +15,10 @@
  * that had nothing to send for a while would send at once when a burst comes. So a turn lasts a
  * second at most, and the phase parts the gateways' turns.
  */
-class Turns {
+class SendSchedule {
 public:
     //! `phase` in [0, 1) is the gateway's own.
-    explicit Turns( double phase = 0 ) : m_phase( phase ) {}
+    explicit SendSchedule( double phase = 0 ) : m_phase( phase ) {}
 
     double phase() const noexcept { return m_phase; }
     //! Until this gateway may send, at `perS` requests a second of its own; 0: now.
@@ -33,4 +33,4 @@
 
 } // namespace coursehead::decide
 
-#endif // COURSEHEAD_DECIDE_TURNS_HPP_INCLUDED
+#endif // COURSEHEAD_DECIDE_SEND_SCHEDULE_HPP_INCLUDED
--- a/src/decide/store_position.hpp
+++ b/src/decide/store_position.hpp
@@ -29,7 +29,7 @@
 }
 
 //! For a deployment's first start: lower than what any later start is given.
-inline constexpr std::uint64_t firstFence = 1;
+inline constexpr std::uint64_t firstFencingToken = 1;
 
 //! What is told at a position to somebody who knows everything up to another.
 enum class Continuity {
--- a/src/gateway/access.cpp
+++ b/src/gateway/access.cpp
@@ -3,8 +3,8 @@
 
 namespace coursehead::gateway {
 
-Access accessOf( const RouteTable& table, const Route& route, const std::optional<KeyDigest>& key,
-                 bool current ) {
+Access checkAccess( const RouteTable& table, const Route& route,
+                    const std::optional<KeyDigest>& key, bool configurationUpToDate ) {
     if( !table.configuration().keyed || route.keyless ) {
         return {};
     }
@@ -14,7 +14,7 @@
     if( const auto* organisation = table.organisationOf( *key ) ) {
         return { AccessVerdict::allowed, organisation };
     }
-    return { current ? AccessVerdict::denied : AccessVerdict::undecided, nullptr };
+    return { configurationUpToDate ? AccessVerdict::denied : AccessVerdict::undecided, nullptr };
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/access.hpp
+++ b/src/gateway/access.hpp
@@ -22,12 +22,12 @@
 };
 
 /**
- * Judges a request's key by the configuration in force. `current`: the gateway hears of changes of
- * the configuration. While it does not, a key that it lacks may have been added since: that request
- * is not denied, but told to come back.
+ * Judges a request's key by the configuration in force. `configurationUpToDate`: the gateway hears
+ * of changes of the configuration. While it does not, a key that it lacks may have been added
+ * since: that request is not denied, but told to come back.
  */
-Access accessOf( const RouteTable& table, const Route& route, const std::optional<KeyDigest>& key,
-                 bool current );
+Access checkAccess( const RouteTable& table, const Route& route,
+                    const std::optional<KeyDigest>& key, bool configurationUpToDate );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/admit.cpp
+++ b/src/gateway/admit.cpp
@@ -25,7 +25,7 @@
         co_return;
     }
     ++m_shared.starting;
-    const auto until = startWaitEnd( m_request.arrived, m_shared.started );
+    const auto until = startupWaitEnd( m_request.arrived, m_shared.started );
     while( ( !m_shared.table || !m_shared.listed ) && !m_client->left &&
            MonoClock::now() < until ) {
         co_await net::pause( m_shared.context, startLook );
@@ -40,7 +40,7 @@
     }
     if( !m_table ) {
         std::string reason = "no configuration yet";
-        co_await answerOwn( statusUnavailable, std::move( reason ), modelRetryAfter );
+        co_await sendOwnAnswer( statusUnavailable, std::move( reason ), modelRetryAfter );
         co_return false;
     }
     const auto host = m_request.fields.find( http::field::host );
@@ -51,18 +51,19 @@
         m_route == nullptr ? nullptr : pickSplit( *m_route, m_shared.random.unit() );
     if( split == nullptr ) {
         std::string reason = "no route";
-        co_await answerOwn( statusNotFound, std::move( reason ), Millis{ 0 } );
+        co_await sendOwnAnswer( statusNotFound, std::move( reason ), Millis{ 0 } );
         logEnd( "no_route" );
         co_return false;
     }
     m_service = split->service;
-    const auto access = accessOf( *m_table, *m_route, m_request.head.key, m_shared.current );
+    const auto access =
+        checkAccess( *m_table, *m_route, m_request.head.key, m_shared.configurationUpToDate );
     m_organisation = access.organisation;
     if( access.verdict != AccessVerdict::allowed ) {
         const bool denied = access.verdict == AccessVerdict::denied;
         std::string reason = denied ? "key not known" : "key not known here yet";
-        co_await answerOwn( denied ? statusUnauthorized : statusUnavailable, std::move( reason ),
-                            denied ? Millis{ 0 } : modelRetryAfter );
+        co_await sendOwnAnswer( denied ? statusUnauthorized : statusUnavailable,
+                                std::move( reason ), denied ? Millis{ 0 } : modelRetryAfter );
         logEnd( denied ? "denied" : "refused" );
         co_return false;
     }
@@ -72,7 +73,7 @@
     }
     if( m_shared.pastHandover && m_deadline > m_shared.stopAt ) {
         std::string reason = "leaving";
-        co_await answerOwn( statusUnavailable, std::move( reason ), modelRetryAfter );
+        co_await sendOwnAnswer( statusUnavailable, std::move( reason ), modelRetryAfter );
         logEnd( "refused" );
         co_return false;
     }
@@ -98,8 +99,8 @@
     const bool over = decision.verdict == QuotaVerdict::over;
     std::string reason = over ? "beyond the organisation's limit" : "limit not known now";
     m_shared.metrics.count( "quota_refusals", over ? "over" : "unknown" );
-    co_await answerOwn( over ? statusTooMany : statusUnavailable, std::move( reason ),
-                        decision.retryAfter );
+    co_await sendOwnAnswer( over ? statusTooManyRequests : statusUnavailable, std::move( reason ),
+                            decision.retryAfter );
     logEnd( over ? "over_quota" : "refused" );
     co_return false;
 }
--- a/src/gateway/client_session.cpp
+++ b/src/gateway/client_session.cpp
@@ -37,7 +37,7 @@
     if( ec == http::error::header_limit ) {
         return statusHeaderTooLarge;
     }
-    return ec == http::error::body_limit ? statusTooLarge : statusBadRequest;
+    return ec == http::error::body_limit ? statusContentTooLarge : statusBadRequest;
 }
 
 net::Task<> refuse( net::Socket& socket, unsigned status ) {
@@ -71,7 +71,7 @@
     ClientRequest request;
 };
 
-ClientLimits limitsOf( const Shared& shared ) {
+ClientLimits limitsOf( const SharedState& shared ) {
     if( shared.table ) {
         return shared.table->configuration().limits;
     }
@@ -91,7 +91,7 @@
 }
 
 //! True when the key leads nowhere: a body that nobody will use is not read.
-bool deniedByHead( const Shared& shared, const http::request_header<>& head,
+bool deniedByHead( const SharedState& shared, const http::request_header<>& head,
                    const std::optional<KeyDigest>& key ) {
     if( !shared.table ) {
         return false;
@@ -101,11 +101,12 @@
     const auto* route = shared.table->find( std::string_view( host.data(), host.size() ),
                                             std::string_view( target.data(), target.size() ) );
     return route != nullptr &&
-           accessOf( *shared.table, *route, key, shared.current ).verdict == AccessVerdict::denied;
+           checkAccess( *shared.table, *route, key, shared.configurationUpToDate ).verdict ==
+               AccessVerdict::denied;
 }
 
 net::Task<ReadRequest> readRequest( net::Socket& socket, boost::beast::flat_buffer& buf,
-                                    const ClientLimits& limits, const Shared& shared ) {
+                                    const ClientLimits& limits, const SharedState& shared ) {
     ReadRequest out;
     const auto arrived = MonoClock::now();
     http::request_parser<http::string_body> parser;
@@ -113,11 +114,12 @@
     parser.body_limit( limits.bodyBytes );
     net::ErrorCode failure;
     {
-        net::SocketDeadline deadline( socket, arrived + limits.headerTime, net::WhenDue::cancel );
+        net::SocketDeadline deadline( socket, arrived + limits.headerTime,
+                                      net::DeadlineAction::cancel );
         auto [ec, n] = co_await http::async_read_header( socket, buf, parser, net::tupled );
         failure = ec;
         if( deadline.expired() ) {
-            out.refusal = statusTimeout;
+            out.refusal = statusRequestTimeout;
             co_return out;
         }
     }
@@ -169,8 +171,8 @@
 
 } // namespace
 
-net::Task<> serveClient( net::Socket socket, Shared& shared ) {
-    net::tune( socket, clientSilence );
+net::Task<> serveClient( net::Socket socket, SharedState& shared ) {
+    net::configureSocket( socket, clientSilence );
     boost::beast::flat_buffer buf;
     for( ;; ) {
         const auto limits = limitsOf( shared );
--- a/src/gateway/client_session.hpp
+++ b/src/gateway/client_session.hpp
@@ -7,7 +7,7 @@
 namespace coursehead::gateway {
 
 //! Serves the requests of one client connection, one after the other.
-net::Task<> serveClient( net::Socket socket, Shared& shared );
+net::Task<> serveClient( net::Socket socket, SharedState& shared );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/patience.cpp
+++ b/src/gateway/client_timeouts.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "gateway/patience.hpp"
+#include "gateway/client_timeouts.hpp"
 
 #include <algorithm>
 
@@ -27,23 +27,23 @@
 
 } // namespace
 
-Patience patienceOf( const Route& route, std::optional<Millis> deadline ) {
-    Patience out;
-    out.whole = deadline ? std::min( *deadline, route.timeout ) : route.timeout;
-    out.firstEvent = out.whole;
+ClientTimeouts clientTimeoutsOf( const Route& route, std::optional<Millis> deadline ) {
+    ClientTimeouts out;
+    out.completeAnswer = deadline ? std::min( *deadline, route.timeout ) : route.timeout;
+    out.firstEvent = out.completeAnswer;
     if( route.kind == RequestKind::stream ) {
         out.pause =
             std::max( { leastGap, route.goal * goalsPerGap, route.gapTarget * gapTargetsPerGap } );
-        out.firstEvent = std::min( out.whole, out.pause );
+        out.firstEvent = std::min( out.completeAnswer, out.pause );
     }
     return out;
 }
 
-Millis longestWait( const Patience& patience, Millis work ) {
+Millis maxWaitBeforeSend( const ClientTimeouts& patience, Millis work ) {
     return std::max( patience.firstEvent - work - wayBack, Millis{ 0 } );
 }
 
-MonoTime startWaitEnd( MonoTime arrived, MonoTime processStart ) {
+MonoTime startupWaitEnd( MonoTime arrived, MonoTime processStart ) {
     return std::min( arrived + startPatience, processStart + startTime );
 }
 
--- a/src/gateway/patience.hpp
+++ b/src/gateway/client_timeouts.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
-#define COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
+#ifndef COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
+#define COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
 
 #include "gateway/model.hpp"
 
@@ -9,25 +9,25 @@
 namespace coursehead::gateway {
 
 //! How long a client waits. What would come later is made for nobody.
-struct Patience {
+struct ClientTimeouts {
     Millis firstEvent{ 0 }; //!< from its request to a stream's first event, or to a whole answer
     Millis pause{ 0 };      //!< between the events of a stream; 0: whole answers have none
-    Millis whole{ 0 };      //!< from its request to the answer's end
+    Millis completeAnswer{ 0 }; //!< from its request to the answer's end
 };
 
 //! The patience of a client that sent a request on a route, with the deadline that it gave.
-Patience patienceOf( const Route& route, std::optional<Millis> deadline );
+ClientTimeouts clientTimeoutsOf( const Route& route, std::optional<Millis> deadline );
 
 /**
  * How long a request may wait for something that it needs before it is sent, counted from its
  * arrival, when the upstream then takes `work` until the first event or the answer. Zero when
  * waiting serves nobody.
  */
-Millis longestWait( const Patience& patience, Millis work );
+Millis maxWaitBeforeSend( const ClientTimeouts& patience, Millis work );
 
 //! Until when a request waits at a process that does not know configuration and upstreams yet.
-MonoTime startWaitEnd( MonoTime arrived, MonoTime processStart );
+MonoTime startupWaitEnd( MonoTime arrived, MonoTime processStart );
 
 } // namespace coursehead::gateway
 
-#endif // COURSEHEAD_GATEWAY_PATIENCE_HPP_INCLUDED
+#endif // COURSEHEAD_GATEWAY_CLIENT_TIMEOUTS_HPP_INCLUDED
--- a/src/gateway/estimate.cpp
+++ b/src/gateway/estimate.cpp
@@ -71,7 +71,7 @@
             const auto left = load - std::chrono::duration_cast<Millis>( now - under->second );
             return static_cast<double>( std::max( left, leastLoad ).count() );
         }
-        const double busy = node.report && node.report->load.ordering ? orderWaitMs : 0;
+        const double busy = node.report && node.report->load.orderInProgress ? orderWaitMs : 0;
         return static_cast<double>( load.count() ) + evictionMs + busy;
     }
     if( generation.adapter.empty() ||
@@ -79,15 +79,15 @@
         return 0;
     }
     // Adapters wait for a model's order that is under way.
-    const bool ordering = node.reportFresh( now ) && node.report->load.ordering;
-    const bool full = node.reportFresh( now ) && !node.report->load.adapterRoom;
-    return adapterLoadMs + ( ordering ? orderWaitMs : 0 ) + ( full ? adapterFullMs : 0 );
+    const bool orderInProgress = node.reportFresh( now ) && node.report->load.orderInProgress;
+    const bool full = node.reportFresh( now ) && !node.report->load.hasAdapterCapacity;
+    return adapterLoadMs + ( orderInProgress ? orderWaitMs : 0 ) + ( full ? adapterFullMs : 0 );
 }
 
 } // namespace
 
-Candidate estimate( const Node& node, const Need& need, const ModelPace& pace, Distance distance,
-                    MonoTime now ) {
+Candidate estimate( const Node& node, const RequestNeeds& need, const ModelPace& pace,
+                    Distance distance, MonoTime now ) {
     Candidate out;
     out.failures = recentFailures( node.health, now );
     out.slowness = slownessNow( node.health, now );
@@ -95,8 +95,8 @@
     out.otherRegion = distance.otherRegion;
     out.crossRegionMs = crossRegionMs;
     out.crossHallMs = crossHallMs;
-    out.leavingMs = node.stopAt ? leavingHallMs : 0;
-    out.paceMs = node.slowStart.admits( node.inFlight ) ? 0 : slowStartMs;
+    out.evacuationPenaltyMs = node.stopAt ? leavingHallMs : 0;
+    out.sendDelayMs = node.slowStart.admits( node.inFlight ) ? 0 : slowStartMs;
     out.avoided = node.health.avoidUntil > now || !node.engineReachable;
     if( need.generation == nullptr || !node.engine ) {
         out.workMs = usualWorkMs;
@@ -108,26 +108,27 @@
         return out;
     }
     const auto& generation = *need.generation;
-    const auto cached = node.prefixes.kept( need.prefix, generation );
+    const auto cached = node.prefixes.cachedTokens( need.prefix, generation );
     const auto fresh = std::max<std::int64_t>( generation.promptTokens - cached, 0 );
-    out.freshTokens = fresh;
+    out.uncachedTokens = fresh;
     out.workMs = pace.readingMs( generation.model, static_cast<double>( fresh ) );
     out.seen = node.reportFresh( now );
     out.holds = node.holdsModel( generation.model, now );
-    out.homeTokens = generation.promptTokens - sharedTokens( generation );
-    out.homeWorkMs = pace.readingMs( generation.model, static_cast<double>( out.homeTokens ) );
+    out.unsharedTokens = generation.promptTokens - sharedTokens( generation );
+    out.unsharedWorkMs =
+        pace.readingMs( generation.model, static_cast<double>( out.unsharedTokens ) );
     out.backlogMs = node.prefillMs;
-    if( node.asksSidecar( now ) ) {
+    if( node.sidecarAdmitsPrompts( now ) ) {
         // It knows what all gateways have sent and are waiting to send.
-        out.backlogMs = std::max( out.backlogMs, node.readingWait( now ) );
+        out.backlogMs = std::max( out.backlogMs, node.readingWaitLeft( now ) );
     } else if( node.gapTarget.count() > 0 ) {
-        out.paceMs += static_cast<double>(
+        out.sendDelayMs += static_cast<double>(
             node.reading.wait( out.workMs, node.readingLimits( now ), now ).count() );
     }
     if( node.reportFresh( now ) ) {
         const auto waiting =
             static_cast<int>( node.report->load.queued + node.report->load.prefilling );
-        if( !node.asksSidecar( now ) ) {
+        if( !node.sidecarAdmitsPrompts( now ) ) {
             out.backlogMs += std::max( waiting - node.prefilling, 0 ) * usualPrefillMs;
         }
         const bool full = node.engine->slots > 0 &&
@@ -138,7 +139,8 @@
         out.decoding = node.report->load.running -
                        std::min( node.report->load.running, node.report->load.prefilling );
     }
-    out.latePauses = node.reportFresh( now ) ? node.report->load.latePausesPercent / percent : 0;
+    out.latePauseShare =
+        node.reportFresh( now ) ? node.report->load.latePausesPercent / percent : 0;
     out.loadMs = loadMs( node, generation, now );
     const auto shared = need.prefix.size() > 1 ? need.prefix[need.prefix.size() - 2] : 0;
     const auto key =
--- a/src/gateway/estimate.hpp
+++ b/src/gateway/estimate.hpp
@@ -6,7 +6,7 @@
 #include "gateway/pace.hpp"
 #include "gateway/selection.hpp"
 
-#include "decide/homes.hpp"
+#include "decide/allowed_regions.hpp"
 #include <span>
 
 #include <string>
@@ -15,11 +15,11 @@
 namespace coursehead::gateway {
 
 //! What a request needs of an upstream.
-struct Need {
+struct RequestNeeds {
     std::string service;
-    const Generation* generation = nullptr; //!< null for plain services
-    std::span<const std::uint64_t> prefix;  //!< keys of the prompt's parts
-    decide::Homes homes{};                  //!< regions in which it may be served
+    const Generation* generation = nullptr;  //!< null for plain services
+    std::span<const std::uint64_t> prefix;   //!< keys of the prompt's parts
+    decide::AllowedRegions allowedRegions{}; //!< regions in which it may be served
     Millis goal{ 0 };
     std::size_t requestBytes = 0;
 };
@@ -31,8 +31,8 @@
 };
 
 //! What sending a request to a node would take, from that far.
-Candidate estimate( const Node& node, const Need& need, const ModelPace& pace, Distance distance,
-                    MonoTime now );
+Candidate estimate( const Node& node, const RequestNeeds& need, const ModelPace& pace,
+                    Distance distance, MonoTime now );
 
 //! True when no upstream that had to load a model first could be better than `candidate` at `node`.
 bool beatsAnyLoad( const Candidate& candidate, const Node& node, std::string_view model );
--- a/src/gateway/event_stream.cpp
+++ b/src/gateway/event_stream.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-bool EventCutter::feed( std::string_view bytes, std::string& out ) {
+bool EventStreamSplitter::feed( std::string_view bytes, std::string& out ) {
     m_partial.append( bytes );
     std::size_t at = 0;
     for( ;; ) {
--- a/src/gateway/event_stream.hpp
+++ b/src/gateway/event_stream.hpp
@@ -10,10 +10,10 @@
 namespace coursehead::gateway {
 
 //! Cuts a text/event-stream into whole events, and watches that their ids rise one by one.
-class EventCutter {
+class EventStreamSplitter {
 public:
     //! `last`: the event behind which the stream begins.
-    explicit EventCutter( std::optional<std::uint64_t> last ) : m_last( last ) {}
+    explicit EventStreamSplitter( std::optional<std::uint64_t> last ) : m_last( last ) {}
 
     //! Takes bytes; appends the whole events among them to `out`. False when an event repeats or
     //! skips an id: the stream is not to be trusted any further.
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-Exchange::Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
+Exchange::Exchange( SharedState& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
                     bool clientKeepsAlive )
     : m_shared( shared ), m_table( shared.table ), m_request( std::move( request ) ),
       m_client( std::move( client ) ), m_keepAlive( clientKeepsAlive ) {
@@ -39,7 +39,7 @@
 Exchange::~Exchange() {
     --m_shared.inFlight;
     if( m_charged > 0 && m_runs == 0 ) {
-        m_shared.quota->giveBack( m_organisation->name, m_charged );
+        m_shared.quota->refund( m_organisation->name, m_charged );
     }
 }
 
@@ -61,16 +61,16 @@
     if( !charged ) {
         co_return ExchangeResult{ m_keepAlive };
     }
-    m_patience = patienceOf( *m_route, m_request.head.deadline );
+    m_patience = clientTimeoutsOf( *m_route, m_request.head.deadline );
     if( m_request.head.generation ) {
         m_prefix = prefixKeys( *m_request.head.generation );
         m_need.generation = &*m_request.head.generation;
         m_need.prefix = m_prefix;
     }
     m_need.service = m_service;
-    m_need.homes.route = m_route->homeRegions;
+    m_need.allowedRegions.route = m_route->homeRegions;
     if( m_organisation != nullptr ) {
-        m_need.homes.organisation = m_organisation->homeRegions;
+        m_need.allowedRegions.organisation = m_organisation->homeRegions;
     }
     m_need.goal = m_route->goal;
     m_need.requestBytes = m_request.body.size();
@@ -114,7 +114,7 @@
         auto& retries = m_shared.retries[m_service];
         if( !counted ) {
             counted = true;
-            retries.countFirst( now );
+            retries.countFirstSend( now );
             m_shared.fleet.countDemand( m_need, choice );
         }
         // Asked before the sidecar, which would load an adapter for nothing.
@@ -147,7 +147,7 @@
             continue;
         }
         now = MonoClock::now();
-        if( m_client->left || m_shared.sendsEnded || !timeLeft( now ) || !maySend() ) {
+        if( m_client->left || m_shared.sendsEnded || !timeLeft( now ) || !contentMayBeSent() ) {
             break;
         }
         if( !choice.node->takesRequestsNow( now ) ) {
@@ -165,12 +165,12 @@
         }
         const auto sent = co_await sendTo( choice.node, choice );
         dropLeaves();
-        if( sent.end == SendEnd::answered || sent.end == SendEnd::streamed ||
-            sent.end == SendEnd::stopped || !mayTryAgain( sent ) ) {
+        if( sent.end == SendOutcome::answered || sent.end == SendOutcome::streamed ||
+            sent.end == SendOutcome::stopped || !mayTryAgain( sent ) ) {
             break;
         }
         m_excluded.insert( choice.node->upstream.id );
-        if( sent.broke ) {
+        if( sent.connectionBroke ) {
             co_await net::pause( m_shared.context, verdictPause );
         }
     }
@@ -181,22 +181,23 @@
 }
 
 void Exchange::noteNoChoice( const Choice& choice ) {
-    if( choice.rest.count() > 0 ) {
-        m_lastWhy =
+    if( choice.unavailableFor.count() > 0 ) {
+        m_lastFailure =
             choice.atLimit ? "upstreams are at their limits" : "upstreams asked for a back-off";
-        m_retryAfter = choice.rest;
+        m_retryAfter = choice.unavailableFor;
     } else if( choice.candidates == 0 && m_excluded.empty() ) {
-        m_lastWhy = "no upstream";
+        m_lastFailure = "no upstream";
     }
 }
 
-bool Exchange::mayTryAgain( const Sent& sent ) {
-    m_lastWhy = sent.why;
-    if( sent.end == SendEnd::notRun ) {
+bool Exchange::mayTryAgain( const SendResult& sent ) {
+    m_lastFailure = sent.why;
+    if( sent.end == SendOutcome::notRun ) {
         return true;
     }
     m_mayHaveRun = true;
-    const bool again = sent.end == SendEnd::streamCut ? m_route->resumable : m_route->idempotent();
+    const bool again =
+        sent.end == SendOutcome::streamCut ? m_route->resumable : m_route->idempotent();
     return again && m_runs < m_route->attempts;
 }
 
@@ -221,7 +222,7 @@
     m_answered = co_await writeClient( std::move( bytes ) );
 }
 
-net::Task<> Exchange::answerOwn( unsigned status, std::string reason, Millis retryAfter ) {
+net::Task<> Exchange::sendOwnAnswer( unsigned status, std::string reason, Millis retryAfter ) {
     WholeAnswer answer;
     answer.status = status;
     answer.own = true;
@@ -250,14 +251,14 @@
         co_return;
     }
     const bool late = !timeLeft( MonoClock::now() + answerMargin );
-    std::string reason = m_lastWhy.empty() ? "out of time" : m_lastWhy;
+    std::string reason = m_lastFailure.empty() ? "out of time" : m_lastFailure;
     if( !m_mayHaveRun ) {
-        const auto after = m_retryAfter.count() > 0 ? m_retryAfter : usualRetryAfter;
-        co_await answerOwn( statusUnavailable, std::move( reason ), after );
+        const auto after = m_retryAfter.count() > 0 ? m_retryAfter : defaultRetryAfter;
+        co_await sendOwnAnswer( statusUnavailable, std::move( reason ), after );
         co_return;
     }
-    co_await answerOwn( late ? statusGatewayTimeout : statusBadGateway, std::move( reason ),
-                        Millis{ 0 } );
+    co_await sendOwnAnswer( late ? statusGatewayTimeout : statusBadGateway, std::move( reason ),
+                            Millis{ 0 } );
 }
 
 void Exchange::logEnd( std::string_view outcome ) const {
--- a/src/gateway/exchange.hpp
+++ b/src/gateway/exchange.hpp
@@ -5,13 +5,13 @@
 #include "coursehead/kernel/random.hpp"
 #include "coursehead/metrics/metrics.hpp"
 #include "gateway/client_end.hpp"
+#include "gateway/client_timeouts.hpp"
 #include "gateway/event_stream.hpp"
 #include "gateway/fleet.hpp"
 #include "gateway/limit_client.hpp"
-#include "gateway/patience.hpp"
 #include "gateway/poison_guard.hpp"
+#include "gateway/prompt_permit.hpp"
 #include "gateway/quota_client.hpp"
-#include "gateway/reading_leave.hpp"
 #include "gateway/retry_window.hpp"
 #include "platform/headers.hpp"
 #include "platform/node_settings.hpp"
@@ -29,7 +29,7 @@
 namespace http = boost::beast::http;
 
 //! What all requests of a gateway share.
-struct Shared {
+struct SharedState {
     net::asio::io_context& context;
     Fleet& fleet;
     RandomSource& random;
@@ -44,7 +44,7 @@
     MonoTime started = MonoClock::now(); //!< this process
     bool listed = true;                  //!< the upstreams are known
     int starting = 0;                    //!< requests that wait for configuration and upstreams
-    bool current = true;                 //!< changes of the configuration are heard of
+    bool configurationUpToDate = true;   //!< changes of the configuration are heard of
     bool draining = false;
     MonoTime stopAt{};                    //!< when draining: nothing may be in flight any more
     bool pastHandover = false;            //!< when draining: clients had time to go elsewhere
@@ -78,7 +78,7 @@
 //! yet: about the time that a load, or an outage of the store, takes.
 inline constexpr Millis modelRetryAfter{ 1000 };
 //! When a refused client is to come back, unless the upstream said when.
-inline constexpr Millis usualRetryAfter{ 300 };
+inline constexpr Millis defaultRetryAfter{ 300 };
 //! Pause until it is looked again whether a process that has just started knows enough.
 inline constexpr Millis startLook{ 10 };
 
@@ -96,7 +96,7 @@
 //! Serves one request: chooses upstreams, sends, retries, and answers the client.
 class Exchange {
 public:
-    Exchange( Shared& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
+    Exchange( SharedState& shared, ClientRequest request, std::shared_ptr<ClientEnd> client,
               bool clientKeepsAlive );
     ~Exchange();
     Exchange( const Exchange& ) = delete;
@@ -106,7 +106,7 @@
 
 private:
     //! How one send to an upstream ended.
-    enum class SendEnd {
+    enum class SendOutcome {
         answered,  //!< m_answer holds the whole answer
         streamed,  //!< the client has the whole stream
         notRun,    //!< it was not run, and never will be
@@ -114,10 +114,10 @@
         streamCut, //!< part of a stream was passed on, then it broke
         stopped,   //!< the client left or the time is over
     };
-    struct Sent {
-        SendEnd end = SendEnd::lost;
+    struct SendResult {
+        SendOutcome end = SendOutcome::lost;
         std::string why;
-        bool broke = false; //!< the connection ended under it
+        bool connectionBroke = false; //!< the connection ended under it
     };
 
     //! What follows on a choice of upstream.
@@ -138,9 +138,9 @@
     //! Refuses a request whose content ends what runs it.
     net::Task<bool> refuseQuarantined();
     //! True when its content may be sent, as far as upstreams that ended under it go.
-    bool maySend();
+    bool contentMayBeSent();
     //! What a send showed of the request's content.
-    void judgeContent( const NodePtr& node, const Sent& sent, MonoTime now );
+    void recordPoisonEvidence( const NodePtr& node, const SendResult& sent, MonoTime now );
     net::Task<> forward();
     //! Nothing is left that it could go to: notes why, and when to come back.
     void noteNoChoice( const Choice& choice );
@@ -159,12 +159,12 @@
     net::Task<bool> renewRoom( const Choice& choice );
     //! What was obtained for the chosen upstream is of no use any more, if it was not used.
     void dropLeaves();
-    net::Task<Sent> sendTo( NodePtr node, const Choice& choice );
+    net::Task<SendResult> sendTo( NodePtr node, const Choice& choice );
     net::Task<ConnectionPtr> connectionTo( Node& node );
-    net::Task<Sent> receive( Node& node, ConnectionPtr connection, const Choice& choice );
-    net::Task<Sent> passStream( Transfer& transfer );
-    net::Task<Sent> takeWhole( Transfer& transfer );
-    SendEnd judge( Transfer& transfer, unsigned status );
+    net::Task<SendResult> receive( Node& node, ConnectionPtr connection, const Choice& choice );
+    net::Task<SendResult> passStream( Transfer& transfer );
+    net::Task<SendResult> takeWhole( Transfer& transfer );
+    SendOutcome judge( Transfer& transfer, unsigned status );
     //! Notes what an answer says of the upstream that gave it.
     void hearAnnouncement( const Transfer& transfer );
     void hearLimit( const Transfer& transfer, MonoTime now );
@@ -172,7 +172,7 @@
     std::string streamText( std::string_view events, bool finished );
     net::Task<bool> writeClient( std::string bytes );
     net::Task<> answerWhole( const WholeAnswer& answer );
-    net::Task<> answerOwn( unsigned status, std::string reason, Millis retryAfter );
+    net::Task<> sendOwnAnswer( unsigned status, std::string reason, Millis retryAfter );
     net::Task<> finishFailed();
     std::string requestBytes( const Node& node ) const;
     bool keepsAlive() const { return m_keepAlive && !m_shared.draining; }
@@ -183,13 +183,13 @@
     //! True when what it needs there comes too late for the client: it is refused, the load begins.
     bool tooLateThere( const Choice& choice, MonoTime now );
     int urgency() const;
-    bool mayTryAgain( const Sent& sent );
+    bool mayTryAgain( const SendResult& sent );
     bool timeLeft( MonoTime now ) const { return now < m_deadline; }
     void logSend( const Node& node, const Choice& choice, MonoTime now ) const;
     void noteEvents( Transfer& transfer );
     void logEnd( std::string_view outcome ) const;
 
-    Shared& m_shared;
+    SharedState& m_shared;
     std::shared_ptr<const RouteTable> m_table; //!< in force when the request came
     ClientRequest m_request;
     std::shared_ptr<ClientEnd> m_client;
@@ -199,21 +199,21 @@
     double m_charged = 0;                         //!< units of its quota
     decide::Fingerprint m_fingerprint = 0;        //!< of its content; the same in each try
     std::string m_service;
-    Need m_need;
+    RequestNeeds m_need;
     std::vector<std::uint64_t> m_prefix;
-    Patience m_patience;
+    ClientTimeouts m_patience;
     MonoTime m_deadline;
-    std::set<std::string> m_excluded;    //!< upstreams that this request does not go to any more
-    int m_refusals = 0;                  //!< sidecars that could not let it in before its goal
-    std::optional<ReadingLeave> m_leave; //!< to send its prompt to the chosen upstream
-    std::optional<LimitLeave> m_room;    //!< likewise, where the upstream has a limit
-    MonoTime m_roomAt;                   //!< when that was obtained
-    int m_sends = 0;                     //!< that reached an upstream
-    MonoTime m_sentAt;                   //!< the last of them
-    std::optional<MonoTime> m_heardAt;   //!< that one's first event
-    int m_runs = 0;                      //!< of these, may have run
+    std::set<std::string> m_excluded;       //!< upstreams that this request does not go to any more
+    int m_refusals = 0;                     //!< sidecars that could not let it in before its goal
+    std::optional<PromptPermit> m_leave;    //!< to send its prompt to the chosen upstream
+    std::optional<LimitPermit> m_room;      //!< likewise, where the upstream has a limit
+    MonoTime m_roomAt;                      //!< when that was obtained
+    int m_sends = 0;                        //!< that reached an upstream
+    MonoTime m_sentAt;                      //!< the last of them
+    std::optional<MonoTime> m_firstEventAt; //!< that one's first event
+    int m_runs = 0;                         //!< of these, may have run
     bool m_mayHaveRun = false;
-    std::string m_lastWhy;
+    std::string m_lastFailure;
     Millis m_retryAfter{ 0 };
     std::optional<WholeAnswer> m_answer; //!< an upstream's own failure, kept in case a retry fails
     bool m_headSent = false;
--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -26,9 +26,9 @@
 
 Fleet::Fleet( net::asio::io_context& context, RandomSource& random, FleetSettings settings )
     : m_context( context ), m_random( random ), m_settings( std::move( settings ) ),
-      m_grants( m_settings.ceilingWindow + storeGrantLife ), m_started( MonoClock::now() ),
+      m_grants( m_settings.ceilingWindow + storeGrantLifetime ), m_started( MonoClock::now() ),
       m_lastTick( m_started ),
-      m_gateways( assumedGateways, m_settings.ceilingWindow + storeGrantLife ) {}
+      m_gateways( assumedGateways, m_settings.ceilingWindow + storeGrantLifetime ) {}
 
 Fleet::~Fleet() {
     adopt( nullptr );
@@ -57,7 +57,7 @@
     chooseLinks( now );
 }
 
-SpecTextPtr Fleet::specOf( const Service& service ) {
+EncodedSpecPtr Fleet::specOf( const Service& service ) {
     auto& known = m_specs[service.name];
     if( known.engine != service.engine ) {
         const bool same = known.engine && *known.engine == *service.engine;
@@ -72,12 +72,13 @@
     const auto engine = service != nullptr ? service->engine : nullptr;
     if( service != nullptr && m_settings.cold.inForce() ) {
         node.coldPerS = decide::coldAllowance( m_settings.cold, service->coldPerS );
-        node.coldTime = service->coldTime;
+        node.coldDuration = service->coldDuration;
     }
     const auto gapTarget = m_table ? m_table->gapTarget( node.upstream.service ) : Millis{ 0 };
     const auto spec = engine ? specOf( *service ) : nullptr;
-    const bool same = node.engine && spec && node.toldSpec == spec && node.gapTarget == gapTarget &&
-                      node.sidecar && node.toldBorn == node.upstream.born;
+    const bool same = node.engine && spec && node.specSentToSidecar == spec &&
+                      node.gapTarget == gapTarget && node.sidecar &&
+                      node.bornSentToSidecar == node.upstream.born;
     node.engine = engine;
     if( same ) {
         // Most configurations change routes only: sidecars need not hear of them.
@@ -94,15 +95,15 @@
         node.sidecar->setTraffic( { m_settings.metrics, whereOf( distanceTo( node ) ) } );
         node.sidecar->setHandlers( sidecarHandlers( node.upstream.id ) );
     }
-    EngineNews news;
+    EngineUpdate news;
     news.gateway = m_settings.vm;
     news.configVersion = m_table->configuration().version;
     news.upstreamId = node.upstream.id;
     news.born = node.upstream.born;
-    node.toldBorn = node.upstream.born;
-    node.toldSpec = spec;
+    node.bornSentToSidecar = node.upstream.born;
+    node.specSentToSidecar = spec;
     news.gapTargetMs = gapTarget.count();
-    node.sidecar->setNews( std::move( news ), spec );
+    node.sidecar->announceEngine( std::move( news ), spec );
 }
 
 void Fleet::adopt( std::shared_ptr<SidecarLink> link ) {
@@ -140,17 +141,17 @@
             takeLoad( *node, load );
         }
     };
-    out.quarantines = [this]( const decide::QuarantineNews& news ) {
+    out.quarantines = [this]( const decide::QuarantineUpdate& news ) {
         if( m_onQuarantines ) {
             m_onQuarantines( news );
         }
     };
-    out.limits = [this]( const decide::LimitNews& news ) {
+    out.limits = [this]( const decide::LimitUpdate& news ) {
         if( m_onLimits ) {
             m_onLimits( news );
         }
     };
-    out.news = [this, id]( const StoreNews& news ) {
+    out.news = [this, id]( const StoreUpdate& news ) {
         if( m_onStoreNews ) {
             m_onStoreNews( id, news );
         }
@@ -159,10 +160,10 @@
 }
 
 void Fleet::takeReport( Node& node, const SidecarReport& report ) {
-    if( isFormer( report.born, node.upstream.born ) ) {
+    if( isOlderStart( report.born, node.upstream.born ) ) {
         return;
     }
-    if( isFormer( node.upstream.born, report.born ) ) {
+    if( isOlderStart( node.upstream.born, report.born ) ) {
         restart( node, report.born, MonoClock::now() );
         setEngine( node );
     }
@@ -189,7 +190,7 @@
     }
 }
 
-void Fleet::abandonWaits() {
+void Fleet::cancelModelWaits() {
     for( auto& it : m_nodes ) {
         if( it.second->sidecar ) {
             it.second->sidecar->failWaiters();
@@ -207,8 +208,8 @@
     return m_grants.take( node.upstream.id, model, share, now );
 }
 
-AskedPrompt Fleet::askedPrompt( const Need& need ) const {
-    AskedPrompt out;
+PendingPrompt Fleet::describePrompt( const RequestNeeds& need ) const {
+    PendingPrompt out;
     const auto& generation = *need.generation;
     out.tokens = generation.promptTokens;
     out.msPerToken = m_pace.readingMs( generation.model, 1 );
@@ -244,7 +245,7 @@
     if( first ) {
         node->loading.erase( name );
     }
-    if( granted && answer.outcome == EnsureOutcome::needStore ) {
+    if( granted && answer.outcome == EnsureOutcome::needsWeightStore ) {
         // Its engine was busy until the grant was too old.
         m_grants.release( node->upstream.id, name );
     }
@@ -253,7 +254,7 @@
     const auto demand = m_demand.find( name );
     if( held && answer.modelWorkPerS >= 0 && demand != m_demand.end() ) {
         demand->second.fleet.workPerS = answer.modelWorkPerS;
-        demand->second.fleet.toldAt = answered;
+        demand->second.fleet.reportedAt = answered;
     }
     co_return answer;
 }
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -40,15 +40,15 @@
 
 //! An upstream chosen for a request, with what the choice rests on.
 struct Choice {
-    NodePtr node;          //!< null when none is left, or one that takes none now is there earlier
-    double expectedMs = 0; //!< until the first event, or the answer
-    double workMs = 0;     //!< of that, reading the prompt
-    double loadMs = 0;     //!< of that, until model and adapter are there
-    double paceMs = 0;     //!< until it should be sent, for the streams that run there
-    std::int64_t freshTokens = 0; //!< of the prompt, to be read
-    Millis rest{ 0 };             //!< no node: until the first takes requests again; 0: none does
-    bool atLimit = false;         //!< that one has reached its limit; else it asked for a back-off
-    bool unqueued = false;        //!< nothing was ahead of it, as far as known
+    NodePtr node;           //!< null when none is left, or one that takes none now is there earlier
+    double expectedMs = 0;  //!< until the first event, or the answer
+    double workMs = 0;      //!< of that, reading the prompt
+    double loadMs = 0;      //!< of that, until model and adapter are there
+    double sendDelayMs = 0; //!< until it should be sent, for the streams that run there
+    std::int64_t uncachedTokens = 0; //!< of the prompt, to be read
+    Millis unavailableFor{ 0 }; //!< no node: until the first takes requests again; 0: none does
+    bool atLimit = false;       //!< that one has reached its limit; else it asked for a back-off
+    bool unqueued = false;      //!< nothing was ahead of it, as far as known
     bool holdsModel = true;
     bool holdsAdapter = true;
     std::size_t candidates = 0;
@@ -80,35 +80,36 @@
     void tick( MonoTime now );
 
     //! Chooses among the upstreams of a service that are not in `excluded`.
-    Choice choose( const Need& need, const std::set<std::string>& excluded, MonoTime now ) const;
+    Choice choose( const RequestNeeds& need, const std::set<std::string>& excluded,
+                   MonoTime now ) const;
     //! Asks a node's sidecar for what a request needs there. The leave that `ready` gives is used
     //! by a send, or handed back.
     net::Task<EnsureAnswer> ensure( NodePtr node, EnsureRequest request );
     //! Hands back the leave to send a prompt, which has become of no use.
     static void handBack( const Node& node, const EnsureAnswer& leave );
     //! The prompt of a request as a sidecar is asked about it.
-    AskedPrompt askedPrompt( const Need& need ) const;
+    PendingPrompt describePrompt( const RequestNeeds& need ) const;
     //! Has a model made ready at a node that no request waits for there.
     void startLoad( const NodePtr& node, const std::string& model );
     //! A stream's first event came, `measuredMs` after it was sent.
     void noteFirstEvent( const Generation& generation, const Choice& choice, double measuredMs );
     //! Counts a request for a model.
-    void countDemand( const Need& need, const Choice& choice );
+    void countDemand( const RequestNeeds& need, const Choice& choice );
 
     //! Called with what the sidecar of an upstream passes on from the store.
     using StoreNewsHandler =
-        std::function<void( const std::string& upstreamId, const StoreNews& news )>;
-    void onStoreNews( StoreNewsHandler handler ) { m_onStoreNews = std::move( handler ); }
+        std::function<void( const std::string& upstreamId, const StoreUpdate& news )>;
+    void onStoreUpdate( StoreNewsHandler handler ) { m_onStoreNews = std::move( handler ); }
     //! Called with what a sidecar knows to be quarantined.
-    using QuarantineHandler = std::function<void( const decide::QuarantineNews& news )>;
+    using QuarantineHandler = std::function<void( const decide::QuarantineUpdate& news )>;
     void onQuarantines( QuarantineHandler handler ) { m_onQuarantines = std::move( handler ); }
     //! Called with what a sidecar has heard of upstreams' limits.
-    using LimitHandler = std::function<void( const decide::LimitNews& news )>;
-    void onLimits( LimitHandler handler ) { m_onLimits = std::move( handler ); }
+    using LimitHandler = std::function<void( const decide::LimitUpdate& news )>;
+    void onLimitUpdate( LimitHandler handler ) { m_onLimits = std::move( handler ); }
     const std::map<std::string, NodePtr>& nodes() const noexcept { return m_nodes; }
 
     //! Ends every wait for a model: the process is about to stop.
-    void abandonWaits();
+    void cancelModelWaits();
 
     //! Gateways that share budgets, this one included.
     int gateways() const noexcept { return m_gateways.count(); }
@@ -131,7 +132,7 @@
     };
 
     //! True when a node is there for a request, whatever it holds.
-    bool mayServe( const Node& node, const Need& need, MonoTime now ) const;
+    bool mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const;
     static Rest restOf( const Node& node, MonoTime now );
     void beginEvacuation( const std::string& hall, bool justOrdered, MonoTime now );
     void endEvacuation( const std::string& hall, MonoTime now );
@@ -149,14 +150,14 @@
     //! Opens and closes connections to sidecars, by use.
     void chooseLinks( MonoTime now );
     decide::LinkCandidate linkCandidate( const Node& node, MonoTime now ) const;
-    DemandNews demandFor( Node& node, MonoTime now );
-    static void restart( Node& node, Born born, MonoTime now );
+    DemandUpdate demandFor( Node& node, MonoTime now );
+    static void restart( Node& node, StartTime born, MonoTime now );
     static void drop( Node& node );
     static void stopSidecar( Node& node );
     void setEngine( Node& node );
     std::shared_ptr<SidecarLink> linkTo( const Upstream& upstream );
     //! The description of a service's engines; the one known before while it says the same.
-    SpecTextPtr specOf( const Service& service );
+    EncodedSpecPtr specOf( const Service& service );
     SidecarLink::Handlers sidecarHandlers( const std::string& id );
     void takeReport( Node& node, const SidecarReport& report );
     void takeLoad( Node& node, const EngineLoad& load );
@@ -170,7 +171,7 @@
     std::shared_ptr<const RouteTable> m_table;
     struct KnownSpec {
         std::shared_ptr<const EngineSpec> engine;
-        SpecTextPtr text;
+        EncodedSpecPtr text;
     };
     std::map<std::string, KnownSpec> m_specs; //!< by service
     std::shared_ptr<SidecarLink> m_early;     //!< see adopt(); null: none, or used
--- a/src/gateway/fleet_choice.cpp
+++ b/src/gateway/fleet_choice.cpp
@@ -19,23 +19,24 @@
     return { node.upstream.hall != m_settings.hall, known && region != own->second };
 }
 
-bool Fleet::mayServe( const Node& node, const Need& need, MonoTime now ) const {
+bool Fleet::mayServe( const Node& node, const RequestNeeds& need, MonoTime now ) const {
     if( node.upstream.service != need.service || !node.takesRequests( now ) ) {
         return false;
     }
-    const bool anywhere = need.homes.route.empty() && need.homes.organisation.empty();
-    return anywhere || decide::mayServe( need.homes, regionOf( node ) );
+    const bool anywhere =
+        need.allowedRegions.route.empty() && need.allowedRegions.organisation.empty();
+    return anywhere || decide::mayServe( need.allowedRegions, regionOf( node ) );
 }
 
 Fleet::Rest Fleet::restOf( const Node& node, MonoTime now ) {
     Rest out;
     const auto backoff = node.announced.backoffLeft( now );
     out.full = node.limit.fullLeft( now ).count() > 0;
-    out.time = out.full ? std::max( backoff, node.limit.comeBackLeft( now ) ) : backoff;
+    out.time = out.full ? std::max( backoff, node.limit.retryLeft( now ) ) : backoff;
     return out;
 }
 
-Choice Fleet::choose( const Need& need, const std::set<std::string>& excluded,
+Choice Fleet::choose( const RequestNeeds& need, const std::set<std::string>& excluded,
                       MonoTime now ) const {
     std::vector<Candidate> candidates;
     std::vector<NodePtr> nodes;
@@ -55,13 +56,14 @@
         }
         const bool holds =
             need.generation == nullptr || node->holdsModel( need.generation->model, now );
-        const auto rest = restOf( *node, now );
-        if( rest.time.count() > 0 || rest.full ) {
+        const auto unavailableFor = restOf( *node, now );
+        if( unavailableFor.time.count() > 0 || unavailableFor.full ) {
             if( holds ) {
-                soonest = std::min( soonest.value_or( rest.time ), rest.time );
+                soonest = std::min( soonest.value_or( unavailableFor.time ), unavailableFor.time );
             }
-            if( holds && !rest.full ) {
-                soonestBackoff = std::min( soonestBackoff.value_or( rest.time ), rest.time );
+            if( holds && !unavailableFor.full ) {
+                soonestBackoff =
+                    std::min( soonestBackoff.value_or( unavailableFor.time ), unavailableFor.time );
             }
             continue;
         }
@@ -74,7 +76,7 @@
             others.push_back( node );
         }
     }
-    assumeUnseen( candidates );
+    estimateUnseenLoads( candidates );
     auto best = gateway::choose( candidates );
     // A load costs more than most waits: the many that do not hold the model are looked at only
     // where none that does is good enough.
@@ -82,7 +84,7 @@
                       beatsAnyLoad( candidates[*best], *nodes[*best], need.generation->model );
     if( !good && !others.empty() ) {
         std::for_each( others.begin(), others.end(), consider );
-        assumeUnseen( candidates );
+        estimateUnseenLoads( candidates );
         best = gateway::choose( candidates );
     }
     // A load elsewhere that takes longer than a back-off would only push another model out. A limit
@@ -93,7 +95,7 @@
     Choice out;
     out.candidates = candidates.size();
     if( !best || backoffIsNearer ) {
-        out.rest = ( backoffIsNearer ? soonestBackoff : soonest ).value_or( Millis{ 0 } );
+        out.unavailableFor = ( backoffIsNearer ? soonestBackoff : soonest ).value_or( Millis{ 0 } );
         out.atLimit = soonest && soonest != soonestBackoff && !backoffIsNearer;
         return out;
     }
@@ -102,8 +104,8 @@
     out.bestCost = costOf( it );
     out.workMs = it.workMs;
     out.loadMs = it.loadMs;
-    out.paceMs = it.paceMs;
-    out.freshTokens = it.freshTokens;
+    out.sendDelayMs = it.sendDelayMs;
+    out.uncachedTokens = it.uncachedTokens;
     out.unqueued = it.backlogMs <= 0 && it.loadMs <= 0;
     out.expectedMs = it.backlogMs + it.workMs + it.loadMs;
     if( need.generation != nullptr && out.node->engine ) {
--- a/src/gateway/fleet_copies.cpp
+++ b/src/gateway/fleet_copies.cpp
@@ -64,7 +64,7 @@
     for( const auto& it : m_nodes ) {
         if( it.second->upstream.hall == hall ) {
             it.second->stopAt.reset();
-            it.second->noteCold( it.second->coldTime, now );
+            it.second->noteCold( it.second->coldDuration, now );
         }
     }
 }
@@ -99,7 +99,7 @@
     for( auto& [model, demand] : m_demand ) {
         const auto it = held.find( model );
         demand.fleet.copies = it == held.end() ? 0 : it->second;
-        if( decide::wantsReplica( demand.fleet, gateways(), m_random.unit(), now ) ) {
+        if( decide::shouldAddReplica( demand.fleet, gateways(), m_random.unit(), now ) ) {
             demand.fleet.lastReplica = now;
             addReplica( demand.service, model, decide::copyLoad( demand.fleet ), now );
         }
@@ -110,7 +110,7 @@
                         MonoTime now ) {
     Generation generation;
     generation.model = model;
-    Need need;
+    RequestNeeds need;
     need.service = service;
     need.generation = &generation;
     std::vector<Candidate> candidates;
--- a/src/gateway/fleet_demand.cpp
+++ b/src/gateway/fleet_demand.cpp
@@ -42,9 +42,9 @@
     addReplicas( m_held, now );
 }
 
-DemandNews Fleet::demandFor( Node& node, MonoTime now ) {
-    DemandNews out;
-    for( const auto& model : node.modelsOfInterest( now ) ) {
+DemandUpdate Fleet::demandFor( Node& node, MonoTime now ) {
+    DemandUpdate out;
+    for( const auto& model : node.modelsHeldOrInFlight( now ) ) {
         ModelDemand entry;
         entry.model = model;
         const auto demand = m_demand.find( model );
@@ -68,11 +68,11 @@
 void Fleet::noteFirstEvent( const Generation& generation, const Choice& choice,
                             double measuredMs ) {
     if( choice.unqueued ) {
-        m_pace.note( generation.model, static_cast<double>( choice.freshTokens ), measuredMs );
+        m_pace.note( generation.model, static_cast<double>( choice.uncachedTokens ), measuredMs );
     }
 }
 
-void Fleet::countDemand( const Need& need, const Choice& choice ) {
+void Fleet::countDemand( const RequestNeeds& need, const Choice& choice ) {
     if( need.generation == nullptr || !choice.node || !choice.node->engine ) {
         return;
     }
--- a/src/gateway/fleet_links.cpp
+++ b/src/gateway/fleet_links.cpp
@@ -42,9 +42,9 @@
             nodes.push_back( it.second.get() );
         }
     }
-    const auto common = decide::commonAmong( candidates );
+    const auto connectedToAllGateways = decide::commonSidecars( candidates );
     for( std::size_t n = 0; n < nodes.size(); ++n ) {
-        nodes[n]->common = common[n];
+        nodes[n]->connectedToAllGateways = connectedToAllGateways[n];
     }
     const auto changes = decide::chooseLinks( candidates, m_settings.vm );
     for( const auto n : changes.open ) {
--- a/src/gateway/fleet_members.cpp
+++ b/src/gateway/fleet_members.cpp
@@ -74,10 +74,10 @@
 }
 
 void Fleet::update( Node& node, const Upstream& listed, MonoTime now ) {
-    if( isFormer( listed.born, node.upstream.born ) ) {
+    if( isOlderStart( listed.born, node.upstream.born ) ) {
         return;
     }
-    const bool anew = isFormer( node.upstream.born, listed.born );
+    const bool anew = isOlderStart( node.upstream.born, listed.born );
     if( anew ) {
         restart( node, listed.born, now );
     }
@@ -97,11 +97,11 @@
     }
 }
 
-void Fleet::restart( Node& node, Born born, MonoTime now ) {
+void Fleet::restart( Node& node, StartTime born, MonoTime now ) {
     log::info(
         "upstream_restarted",
         { { "upstream", node.upstream.id }, { "born", born }, { "before", node.upstream.born } } );
-    node.beginAnew( born, now );
+    node.resetForRestart( born, now );
 }
 
 void Fleet::add( const Upstream& upstream, MonoTime now ) {
@@ -110,7 +110,7 @@
     const double phase =
         std::ldexp( static_cast<double>( hash64( upstream.id, m_settings.vm ) ), -hashBits );
     node->cold = decide::ColdGate( phase );
-    node->limit.turns = decide::Turns( phase );
+    node->limit.sendSchedule = decide::SendSchedule( phase );
     m_nodes.emplace( upstream.id, node );
     setEngine( *node );
     node->noteCold( upstream.cold, now );
--- a/src/gateway/follower.cpp
+++ b/src/gateway/follower.cpp
@@ -46,7 +46,7 @@
 } // namespace
 
 Follower::Follower( net::asio::io_context& context, const platform::Endpoint& store,
-                    FollowSettings settings, RandomSource& random, FollowHandlers handlers )
+                    FollowerSettings settings, RandomSource& random, FollowerHandlers handlers )
     : m_context( context ), m_settings( std::move( settings ) ), m_random( random ),
       m_handlers( std::move( handlers ) ), m_client( context, store, m_settings.metrics ),
       m_retry( firstRetry ), m_relayOver( context ) {}
@@ -81,7 +81,7 @@
     m_listed = true;
 }
 
-bool Follower::relayed( StorePosition position, bool whole, MonoTime until ) {
+bool Follower::acceptRelayed( StorePosition position, bool whole, MonoTime until ) {
     const auto continuity = decide::continuityOf( m_position, position );
     const bool restored = m_known && continuity == Continuity::otherHistory;
     if( continuity == Continuity::former || ( restored && !whole ) ) {
--- a/src/gateway/follower.hpp
+++ b/src/gateway/follower.hpp
@@ -12,7 +12,7 @@
 namespace coursehead::gateway {
 
 //! What a follower hands on. All handlers run on the event loop.
-struct FollowHandlers {
+struct FollowerHandlers {
     //! Everything that exists, at a revision of the store.
     std::function<void( const std::vector<platform::StoreObject>& objects )> listing;
     std::function<void( const platform::StoreEvent& event )> event;
@@ -25,7 +25,7 @@
     std::function<void()> restored;
 };
 
-struct FollowSettings {
+struct FollowerSettings {
     std::string kind;
     Millis wait{ 2000 };                 //!< length of one watch call
     Millis pause{ 0 };                   //!< between watch calls, so that changes come in batches
@@ -40,7 +40,7 @@
 class Follower {
 public:
     Follower( net::asio::io_context& context, const platform::Endpoint& store,
-              FollowSettings settings, RandomSource& random, FollowHandlers handlers );
+              FollowerSettings settings, RandomSource& random, FollowerHandlers handlers );
 
     //! Ends after stop().
     net::Task<> run();
@@ -51,7 +51,7 @@
      * until `until` no call is needed. Returns false when what it passed on is to be dropped: this
      * follower is ahead of it, or knows another history than the changes belong to.
      */
-    bool relayed( decide::StorePosition position, bool whole, MonoTime until );
+    bool acceptRelayed( decide::StorePosition position, bool whole, MonoTime until );
     //! The relay is lost, or has lost the store: the store is called from `from` on, unless another
     //! relay has spoken by then.
     void relayLost( MonoTime from );
@@ -72,9 +72,9 @@
     Millis retryDelay();
 
     net::asio::io_context& m_context;
-    FollowSettings m_settings;
+    FollowerSettings m_settings;
     RandomSource& m_random;
-    FollowHandlers m_handlers;
+    FollowerHandlers m_handlers;
     platform::StoreClient m_client;
     bool m_stopped = false;
     bool m_listed = false;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -47,8 +47,9 @@
         m_shared.quota = &m_quota;
         m_shared.limits = &m_limits;
         m_shared.poison = &m_poison;
-        m_fleet.onLimits(
-            [this]( const decide::LimitNews& news ) { m_limits.take( news, MonoClock::now() ); } );
+        m_fleet.onLimitUpdate( [this]( const decide::LimitUpdate& news ) {
+            m_limits.applyUpdate( news, MonoClock::now() );
+        } );
         m_shared.listed = false;
         m_front = std::make_unique<net::Acceptor>(
             net::listen( m_context, m_settings.front.ip, m_settings.front.port ) );
@@ -113,8 +114,8 @@
         }
     }
 
-    FeedHandlers feedHandlers() {
-        FeedHandlers out;
+    StoreFeedHandlers feedHandlers() {
+        StoreFeedHandlers out;
         out.configuration = [this]( std::string_view json ) {
             takeConfiguration( json );
         };
@@ -122,7 +123,7 @@
             syncFleet();
         };
         out.quarantines = [this]( std::span<const decide::Quarantine> entries ) {
-            m_poison.take( entries, "store" );
+            m_poison.applyUpdate( entries, "store" );
         };
         out.evacuations = [this]( const std::set<std::string>& halls ) {
             m_fleet.setEvacuations( halls, MonoClock::now() );
@@ -196,7 +197,7 @@
             m_quota.tick( now );
             m_limits.tick( now );
             m_shared.listed = m_feed.upstreamsListed();
-            m_shared.current = m_feed.configurationCurrent();
+            m_shared.configurationUpToDate = m_feed.configurationCurrent();
             if( now - m_settingsLook >= settingsInterval ) {
                 m_settingsLook = now;
                 if( m_settingsWatch.changed() ) {
@@ -233,7 +234,7 @@
             constexpr Millis step{ 20 };
             if( !m_shared.sendsEnded && MonoClock::now() >= limit - lastSendMargin ) {
                 m_shared.sendsEnded = true;
-                m_fleet.abandonWaits();
+                m_fleet.cancelModelWaits();
             }
             co_await net::pause( m_context, step );
         }
@@ -269,7 +270,7 @@
     metrics::Metrics m_metrics;
     Fleet m_fleet;
     Registry m_registry;
-    Shared m_shared;
+    SharedState m_shared;
     QuotaClient m_quota;
     LimitClient m_limits;
     PoisonGuard m_poison;
--- a/src/gateway/holder_links.cpp
+++ b/src/gateway/holder_links.cpp
@@ -9,11 +9,11 @@
     m_links.clear();
     int gateways = 1;
     for( const auto& [id, node] : m_fleet.nodes() ) {
-        if( !node->sidecar || !node->common ) {
+        if( !node->sidecar || !node->connectedToAllGateways ) {
             continue;
         }
         auto& link = m_links[node->upstream.ip];
-        if( !link || node->sidecar->mayAnswer( now ) ) {
+        if( !link || node->sidecar->mayBeResponsive( now ) ) {
             link = node->sidecar;
         }
         gateways = std::max( gateways, node->report ? node->report->load.gateways : 1 );
@@ -29,7 +29,7 @@
 std::vector<decide::HolderCandidate> HolderLinks::candidates( MonoTime now ) const {
     std::vector<decide::HolderCandidate> out;
     for( const auto& [ip, link] : m_links ) {
-        out.push_back( { ip, link->mayAnswer( now ) } );
+        out.push_back( { ip, link->mayBeResponsive( now ) } );
     }
     return out;
 }
--- a/src/gateway/holder_links.hpp
+++ b/src/gateway/holder_links.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_GATEWAY_HOLDER_LINKS_HPP_INCLUDED
 
 #include "decide/gateway_count.hpp"
-#include "decide/quota_book.hpp"
+#include "decide/gateway_quotas.hpp"
 #include "gateway/fleet.hpp"
 
 #include <map>
--- a/src/gateway/limit_client.cpp
+++ b/src/gateway/limit_client.cpp
@@ -35,15 +35,15 @@
 }
 
 void LimitClient::look( MonoTime now ) {
-    decide::LimitBook::Words words;
+    decide::GatewayLimits::Statements statements;
     for( const auto& it : m_fleet.nodes() ) {
         const Node& node = *it.second;
-        if( decide::concerns( node.limit.known, now ) ) {
-            auto word = decide::wordOf( startOf( node ), node.limit.known, now );
-            words.emplace( startOf( node ), std::move( word ) );
+        if( decide::isReportable( node.limit.known, now ) ) {
+            auto statement = decide::statementOf( startOf( node ), node.limit.known, now );
+            statements.emplace( startOf( node ), std::move( statement ) );
         }
     }
-    m_book.setWords( std::move( words ) );
+    m_book.setStatements( std::move( statements ) );
     if( m_book.idle() ) {
         return;
     }
@@ -60,10 +60,10 @@
 void LimitClient::tell( MonoTime now ) {
     m_toldAt = now;
     for( const auto& [address, link] : m_links.all() ) {
-        if( !link->mayAnswer( now ) ) {
+        if( !link->mayBeResponsive( now ) ) {
             continue;
         }
-        auto news = m_book.takeNews( address, now );
+        auto news = m_book.takeUpdate( address, now );
         if( news ) {
             news->gateway = m_vm;
             link->send( Message( std::move( *news ) ) );
@@ -71,12 +71,12 @@
     }
 }
 
-void LimitClient::take( const decide::LimitNews& news, MonoTime now ) {
-    for( const auto& word : news.words ) {
-        const auto id = word.start.substr( 0, word.start.rfind( startMark ) );
+void LimitClient::applyUpdate( const decide::LimitUpdate& news, MonoTime now ) {
+    for( const auto& statement : news.statements ) {
+        const auto id = statement.start.substr( 0, statement.start.rfind( startMark ) );
         const auto it = m_fleet.nodes().find( id );
-        const bool known = it != m_fleet.nodes().end() && startOf( *it->second ) == word.start;
-        if( known && decide::takeWord( it->second->limit.known, word, now ) ) {
+        const bool known = it != m_fleet.nodes().end() && startOf( *it->second ) == statement.start;
+        if( known && decide::applyStatement( it->second->limit.known, statement, now ) ) {
             const auto perS = it->second->limit.known.perS();
             log::info(
                 "upstream_limit_told",
@@ -95,17 +95,17 @@
     const auto link = m_links.find( m_book.holderOf( start, asked ) );
     std::optional<decide::LimitAnswer> answer;
     if( link ) {
-        decide::LimitAsk question;
-        question.word = decide::wordOf( start, node->limit.known, asked );
-        answer = co_await link->askLimit( std::move( question ), askTime );
+        decide::LimitRequest question;
+        question.statement = decide::statementOf( start, node->limit.known, asked );
+        answer = co_await link->requestLimitPermit( std::move( question ), askTime );
     }
-    const auto decision =
-        decide::followLimit( node->limit, answer, m_fleet.gateways(), asked, MonoClock::now() );
+    const auto decision = decide::applyLimitAnswer( node->limit, answer, m_fleet.gateways(), asked,
+                                                    MonoClock::now() );
     m_metrics.count( "limit_asks", decide::nameOf( decision.outcome ) );
     co_return decision;
 }
 
-void LimitClient::giveBack( const Node& node ) {
+void LimitClient::refund( const Node& node ) {
     const auto start = startOf( node );
     const auto link = m_links.find( m_book.holderOf( start, MonoClock::now() ) );
     if( link ) {
--- a/src/gateway/limit_client.hpp
+++ b/src/gateway/limit_client.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_GATEWAY_LIMIT_CLIENT_HPP_INCLUDED
 
 #include "coursehead/metrics/metrics.hpp"
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "gateway/holder_links.hpp"
 
 #include <string>
@@ -20,12 +20,12 @@
     //! Regular work: who holds which limit, and what they are told.
     void tick( MonoTime now );
     //! What others have heard of limits.
-    void take( const decide::LimitNews& news, MonoTime now );
+    void applyUpdate( const decide::LimitUpdate& news, MonoTime now );
     //! Leave for one request to an upstream with a limit. Where there is no room its node knows
     //! from when on there may be.
     net::Task<decide::LimitDecision> obtain( NodePtr node );
     //! A request that a holder had granted was not sent.
-    void giveBack( const Node& node );
+    void refund( const Node& node );
 
 private:
     void look( MonoTime now );
@@ -35,22 +35,22 @@
     metrics::Metrics& m_metrics;
     std::string m_vm;
     HolderLinks m_links;
-    decide::LimitBook m_book;
+    decide::GatewayLimits m_book;
     MonoTime m_toldAt;
 };
 
 //! Leave for one request. Unless it is used its holder hears that the request does not come.
-class LimitLeave {
+class LimitPermit {
 public:
-    LimitLeave( LimitClient& client, NodePtr node )
+    LimitPermit( LimitClient& client, NodePtr node )
         : m_client( client ), m_node( std::move( node ) ) {}
-    ~LimitLeave() {
+    ~LimitPermit() {
         if( m_node ) {
-            m_client.giveBack( *m_node );
+            m_client.refund( *m_node );
         }
     }
-    LimitLeave( const LimitLeave& ) = delete;
-    LimitLeave& operator=( const LimitLeave& ) = delete;
+    LimitPermit( const LimitPermit& ) = delete;
+    LimitPermit& operator=( const LimitPermit& ) = delete;
 
     void use() { m_node.reset(); }
 
--- a/src/gateway/messages.cpp
+++ b/src/gateway/messages.cpp
@@ -28,27 +28,27 @@
     out.burst = in.at( 2 ).get<double>();
 }
 
-void to_json( Json& out, const QuotaNews& in ) {
+void to_json( Json& out, const QuotaUpdate& in ) {
     out = Json::array( { in.gateway, in.version, in.gateways, in.rates } );
 }
 
-void from_json( const Json& in, QuotaNews& out ) {
+void from_json( const Json& in, QuotaUpdate& out ) {
     out.gateway = in.at( 0 ).get<std::string>();
     out.version = in.at( 1 ).get<std::uint64_t>();
     out.gateways = in.at( 2 ).get<int>();
     out.rates = in.at( 3 ).get<std::vector<QuotaRate>>();
 }
 
-void to_json( Json& out, const QuotaAsk& in ) {
-    out = Json::array( { in.number, in.organisation, in.needed, in.wished, in.patienceMs } );
+void to_json( Json& out, const QuotaRequest& in ) {
+    out = Json::array( { in.number, in.organisation, in.needed, in.preferred, in.maxWaitMs } );
 }
 
-void from_json( const Json& in, QuotaAsk& out ) {
+void from_json( const Json& in, QuotaRequest& out ) {
     out.number = in.at( 0 ).get<std::uint64_t>();
     out.organisation = in.at( 1 ).get<std::string>();
     out.needed = in.at( 2 ).get<double>();
-    out.wished = in.at( 3 ).get<double>();
-    out.patienceMs = in.at( 4 ).get<std::int64_t>();
+    out.preferred = in.at( 3 ).get<double>();
+    out.maxWaitMs = in.at( 4 ).get<std::int64_t>();
 }
 
 void to_json( Json& out, const QuotaAnswer& in ) {
@@ -71,44 +71,44 @@
     out.units = in.at( 1 ).get<double>();
 }
 
-void to_json( Json& out, const LimitWord& in ) {
-    out = Json::array( { in.start, in.perS, in.namedMs, in.noneMs } );
+void to_json( Json& out, const LimitStatement& in ) {
+    out = Json::array( { in.start, in.perS, in.namedAgoMs, in.noneAgoMs } );
 }
 
-void from_json( const Json& in, LimitWord& out ) {
+void from_json( const Json& in, LimitStatement& out ) {
     out.start = in.at( 0 ).get<std::string>();
     out.perS = in.at( 1 ).get<double>();
-    out.namedMs = in.at( 2 ).get<std::int64_t>();
-    out.noneMs = in.at( 3 ).get<std::int64_t>();
+    out.namedAgoMs = in.at( 2 ).get<std::int64_t>();
+    out.noneAgoMs = in.at( 3 ).get<std::int64_t>();
 }
 
-void to_json( Json& out, const LimitNews& in ) {
-    out = Json::array( { in.gateway, in.gateways, in.words } );
+void to_json( Json& out, const LimitUpdate& in ) {
+    out = Json::array( { in.gateway, in.gateways, in.statements } );
 }
 
-void from_json( const Json& in, LimitNews& out ) {
+void from_json( const Json& in, LimitUpdate& out ) {
     out.gateway = in.at( 0 ).get<std::string>();
     out.gateways = in.at( 1 ).get<int>();
-    out.words = in.at( 2 ).get<std::vector<LimitWord>>();
+    out.statements = in.at( 2 ).get<std::vector<LimitStatement>>();
 }
 
-void to_json( Json& out, const LimitAsk& in ) {
-    out = Json::array( { in.number, in.word } );
+void to_json( Json& out, const LimitRequest& in ) {
+    out = Json::array( { in.number, in.statement } );
 }
 
-void from_json( const Json& in, LimitAsk& out ) {
+void from_json( const Json& in, LimitRequest& out ) {
     out.number = in.at( 0 ).get<std::uint64_t>();
-    out.word = in.at( 1 ).get<LimitWord>();
+    out.statement = in.at( 1 ).get<LimitStatement>();
 }
 
 void to_json( Json& out, const LimitAnswer& in ) {
-    out = Json::array( { in.number, in.verdict, in.roomMs, in.waitMs } );
+    out = Json::array( { in.number, in.verdict, in.earliestWaitMs, in.waitMs } );
 }
 
 void from_json( const Json& in, LimitAnswer& out ) {
     out.number = in.at( 0 ).get<std::uint64_t>();
     out.verdict = in.at( 1 ).get<LimitVerdict>();
-    out.roomMs = in.at( 2 ).get<std::int64_t>();
+    out.earliestWaitMs = in.at( 2 ).get<std::int64_t>();
     out.waitMs = in.at( 3 ).get<std::int64_t>();
 }
 
@@ -120,11 +120,11 @@
     out.start = in.at( 0 ).get<std::string>();
 }
 
-void to_json( Json& out, const BrokenRun& in ) {
+void to_json( Json& out, const InterruptedRun& in ) {
     out = Json::array( { in.fingerprint, in.weight, in.quarantines } );
 }
 
-void from_json( const Json& in, BrokenRun& out ) {
+void from_json( const Json& in, InterruptedRun& out ) {
     out.fingerprint = in.at( 0 ).get<Fingerprint>();
     out.weight = in.at( 1 ).get<double>();
     out.quarantines = in.at( 2 ).get<int>();
@@ -136,7 +136,7 @@
 
 void from_json( const Json& in, PoisonEvidence& out ) {
     out.upstreamId = in.at( 0 ).get<std::string>();
-    out.runs = in.at( 1 ).get<std::vector<BrokenRun>>();
+    out.runs = in.at( 1 ).get<std::vector<InterruptedRun>>();
 }
 
 void to_json( Json& out, const PoisonCleared& in ) {
@@ -157,11 +157,11 @@
     out.holdMs = in.at( 2 ).get<std::int64_t>();
 }
 
-void to_json( Json& out, const QuarantineNews& in ) {
+void to_json( Json& out, const QuarantineUpdate& in ) {
     out = in.entries;
 }
 
-void from_json( const Json& in, QuarantineNews& out ) {
+void from_json( const Json& in, QuarantineUpdate& out ) {
     out.entries = in.get<std::vector<Quarantine>>();
 }
 
@@ -205,11 +205,11 @@
     out.adaptersUsed = in.at( 5 ).get<std::vector<std::string>>();
 }
 
-void to_json( Json& out, const DemandNews& in ) {
+void to_json( Json& out, const DemandUpdate& in ) {
     out = Json::array( { in.models, in.sentParts, in.reading, in.gateways } );
 }
 
-void from_json( const Json& in, DemandNews& out ) {
+void from_json( const Json& in, DemandUpdate& out ) {
     out.models = in.at( 0 ).get<std::vector<ModelDemand>>();
     out.sentParts = in.at( 1 ).get<std::vector<SentPart>>();
     out.reading = in.at( 2 ).get<double>();
@@ -217,17 +217,17 @@
 }
 
 void to_json( Json& out, const EngineLoad& in ) {
-    out = Json::array( { in.ordering, in.queued, in.running, in.prefilling, in.adapterRoom,
-                         in.latePausesPercent, in.sentParts, in.readingPercent, in.readingWaitMs,
-                         in.gateways } );
+    out = Json::array( { in.orderInProgress, in.queued, in.running, in.prefilling,
+                         in.hasAdapterCapacity, in.latePausesPercent, in.sentParts,
+                         in.readingPercent, in.readingWaitMs, in.gateways } );
 }
 
 void from_json( const Json& in, EngineLoad& out ) {
-    out.ordering = in.at( 0 ).get<bool>();
+    out.orderInProgress = in.at( 0 ).get<bool>();
     out.queued = in.at( 1 ).get<std::uint32_t>();
     out.running = in.at( 2 ).get<std::uint32_t>();
     out.prefilling = in.at( 3 ).get<std::uint32_t>();
-    out.adapterRoom = in.at( 4 ).get<bool>();
+    out.hasAdapterCapacity = in.at( 4 ).get<bool>();
     out.latePausesPercent = in.at( 5 ).get<int>();
     out.sentParts = in.at( 6 ).get<std::vector<SentPart>>();
     out.readingPercent = in.at( 7 ).get<int>();
@@ -236,19 +236,19 @@
 }
 
 void to_json( Json& out, const SidecarReport& in ) {
-    out = Json::array( { in.reachable, in.formerUpstreams, in.residents, in.coming, in.onDisk,
-                         in.inMemory, in.load, in.born } );
+    out = Json::array( { in.reachable, in.formerUpstreams, in.residents, in.loadingAdapters,
+                         in.onDisk, in.inMemory, in.load, in.born } );
 }
 
 void from_json( const Json& in, SidecarReport& out ) {
     out.reachable = in.at( 0 ).get<bool>();
     out.formerUpstreams = in.at( 1 ).get<std::vector<std::string>>();
     out.residents = in.at( 2 ).get<std::vector<Resident>>();
-    out.coming = in.at( 3 ).get<std::vector<std::string>>();
+    out.loadingAdapters = in.at( 3 ).get<std::vector<std::string>>();
     out.onDisk = in.at( 4 ).get<std::vector<std::string>>();
     out.inMemory = in.at( 5 ).get<std::vector<std::string>>();
     out.load = in.at( 6 ).get<EngineLoad>();
-    out.born = in.at( 7 ).get<Born>();
+    out.born = in.at( 7 ).get<StartTime>();
 }
 
 void to_json( Json& out, const LoadReport& in ) {
@@ -259,25 +259,25 @@
     out.load = in.get<EngineLoad>();
 }
 
-void to_json( Json& out, const AskedPart& in ) {
+void to_json( Json& out, const PendingPromptPart& in ) {
     out = Json::array( { in.key, in.tokens } );
 }
 
-void from_json( const Json& in, AskedPart& out ) {
+void from_json( const Json& in, PendingPromptPart& out ) {
     out.key = in.at( 0 ).get<std::uint64_t>();
     out.tokens = in.at( 1 ).get<std::int64_t>();
 }
 
-void to_json( Json& out, const AskedPrompt& in ) {
+void to_json( Json& out, const PendingPrompt& in ) {
     out = Json::array( { in.tokens, in.msPerToken, in.goalMs, in.late, in.parts } );
 }
 
-void from_json( const Json& in, AskedPrompt& out ) {
+void from_json( const Json& in, PendingPrompt& out ) {
     out.tokens = in.at( 0 ).get<std::int64_t>();
     out.msPerToken = in.at( 1 ).get<double>();
     out.goalMs = in.at( 2 ).get<std::int64_t>();
     out.late = in.at( 3 ).get<bool>();
-    out.parts = in.at( 4 ).get<std::vector<AskedPart>>();
+    out.parts = in.at( 4 ).get<std::vector<PendingPromptPart>>();
 }
 
 void to_json( Json& out, const EnsureRequest& in ) {
@@ -292,7 +292,7 @@
     out.adapter = in.at( 3 ).get<std::string>();
     out.fromStore = in.at( 4 ).get<bool>();
     out.limitMs = in.at( 5 ).get<std::int64_t>();
-    out.prompt = in.at( 6 ).get<AskedPrompt>();
+    out.prompt = in.at( 6 ).get<PendingPrompt>();
     out.coldMs = in.at( 7 ).get<std::int64_t>();
     out.coldPerS = in.at( 8 ).get<double>();
 }
@@ -330,9 +330,9 @@
 
 // clang-format off
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( EngineSpec, slots, cacheTokens, weightsMb, adapterSlots, storeLoadsPerS, models )
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( EngineNews, gateway, configVersion, upstreamId, born, gapTargetMs, spec )
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( SpecAsk, key )
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( SpecNews, key, engine )
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( EngineUpdate, gateway, configVersion, upstreamId, born, gapTargetMs, spec )
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( SpecRequest, key )
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( SpecAnswer, key, engine )
 // clang-format on
 
 void to_json( Json& out, const Upstream& in ) {
@@ -357,13 +357,13 @@
         out.remaining = Millis( left );
     }
     out.residents = in.at( 9 ).get<std::vector<Resident>>();
-    out.born = in.at( 10 ).get<Born>();
+    out.born = in.at( 10 ).get<StartTime>();
     out.cold = Millis( in.at( 11 ).get<std::int64_t>() );
 }
 
 // clang-format off
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( RelayAsk, wanted )
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( StoreNews, part, position, reachable, whole, upstreams, gone, configuration, quarantines, emptied )
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( RelayRequest, wanted )
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE( StoreUpdate, part, position, reachable, whole, upstreams, gone, configuration, quarantines, emptied )
 // clang-format on
 
 namespace {
@@ -386,13 +386,13 @@
     switch( outcome ) {
     case EnsureOutcome::ready:
         return "ready";
-    case EnsureOutcome::noRoom:
+    case EnsureOutcome::noCapacity:
         return "no_room";
-    case EnsureOutcome::needStore:
+    case EnsureOutcome::needsWeightStore:
         return "weight_store_rate";
     case EnsureOutcome::failed:
         return "failed";
-    case EnsureOutcome::later:
+    case EnsureOutcome::tooLate:
         return "later";
     }
     return "unknown";
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -21,40 +21,40 @@
 
 //! A gateway introduces itself, and says which engine the sidecar stands beside. Sent first, and
 //! again when any of it changes.
-struct EngineNews {
+struct EngineUpdate {
     std::string gateway;
     std::uint64_t configVersion = 0;
     std::string upstreamId;       //!< the engine's present start
-    Born born = 0;                //!< the same
+    StartTime born = 0;           //!< the same
     std::int64_t gapTargetMs = 0; //!< longest pause that keeps a stream in time; 0: none is set
     EngineSpecKey spec = 0;       //!< what it is built like
 };
 
 //! A sidecar asks a gateway for the description that it named.
-struct SpecAsk {
+struct SpecRequest {
     EngineSpecKey key = 0;
 };
 
 //! What an engine is built like, with every model of its service: the same for all engines of a
 //! service, and as large as the service has models.
-struct SpecNews {
+struct SpecAnswer {
     EngineSpecKey key = 0;
     EngineSpec engine;
 };
 
 //! Part of a prompt that is to be sent, in the order of the prompt.
-struct AskedPart {
+struct PendingPromptPart {
     std::uint64_t key = 0; //!< stands for model, adapter and all parts up to it
     std::int64_t tokens = 0;
 };
 
 //! A prompt that is to be sent to an engine.
-struct AskedPrompt {
+struct PendingPrompt {
     std::int64_t tokens = 0; //!< in all
     double msPerToken = 0;   //!< pace at which the gateway saw the model read
     std::int64_t goalMs = 0; //!< reading has to begin within it for the answer to be in time
     bool late = false;       //!< it may begin after that too, within the question's limit
-    std::vector<AskedPart> parts;
+    std::vector<PendingPromptPart> parts;
 };
 
 //! Asks for a model or adapter to be made ready, and for leave to send a prompt then.
@@ -65,7 +65,7 @@
     std::string adapter;      //!< empty: the model alone
     bool fromStore = false;   //!< the weight store may be used
     std::int64_t limitMs = 0; //!< the gateway waits no longer for the answer
-    AskedPrompt prompt;       //!< without tokens: none is to be sent
+    PendingPrompt prompt;     //!< without tokens: none is to be sent
     std::int64_t coldMs = 0;  //!< the engine stays cold for this much longer, as the gateway knows
     double coldPerS = 0;      //!< prompts a second that it is sent while cold; 0: no rule
 };
@@ -77,10 +77,10 @@
 
 enum class EnsureOutcome {
     ready,
-    noRoom,    //!< everything that could make way is needed more
-    needStore, //!< only the weight store has it, and it may not be used now
-    failed,    //!< the engine did not take the order or cannot be reached
-    later,     //!< all is there, but the prompt can't be read in time
+    noCapacity,       //!< everything that could make way is needed more
+    needsWeightStore, //!< only the weight store has it, and it may not be used now
+    failed,           //!< the engine did not take the order or cannot be reached
+    tooLate,          //!< all is there, but the prompt can't be read in time
 };
 
 //! The outcome's name in logs.
@@ -114,7 +114,7 @@
 };
 
 //! Sent regularly; also tells the sidecar that the gateway lives.
-struct DemandNews {
+struct DemandUpdate {
     std::vector<ModelDemand> models;
     std::vector<SentPart> sentParts; //!< since the last message, in order
     double reading = 0;              //!< part of the engine's time that this gateway's prompts take
@@ -123,11 +123,11 @@
 
 //! What moves all the time at an engine.
 struct EngineLoad {
-    bool ordering = false; //!< an order is under way
+    bool orderInProgress = false; //!< an order is under way
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling = 0;
-    bool adapterRoom =
+    bool hasAdapterCapacity =
         true; //!< another adapter could be loaded without waiting for requests to end
     int latePausesPercent = 0;       //!< part of its recent streams that paused too long
     int readingPercent = 0;          //!< part of its time that prompts of all gateways take
@@ -141,11 +141,11 @@
     bool reachable = false;                   //!< the engine answered the sidecar
     std::vector<std::string> formerUpstreams; //!< earlier starts of the engine, as refusals showed
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters on their way: MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< adapters on their way: MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
     EngineLoad load;
-    Born born = 0; //!< the engine's present start
+    StartTime born = 0; //!< the engine's present start
 };
 
 //! The load alone, regularly: most reports differ in nothing else.
@@ -154,7 +154,7 @@
 };
 
 //! Asks a sidecar to pass on what changes in the store, or to cease to.
-struct RelayAsk {
+struct RelayRequest {
     bool wanted = false;
 };
 
@@ -167,7 +167,7 @@
 };
 
 //! What has changed in the store up to a position; sent after every answer of the store.
-struct StoreNews {
+struct StoreUpdate {
     StorePart part = StorePart::upstreams;
     decide::StorePosition position;
     bool reachable = true;           //!< the store answered; otherwise nothing else is set
@@ -179,12 +179,12 @@
     std::vector<std::string> emptied;            //!< halls
 };
 
-using Message =
-    std::variant<EngineNews, EnsureRequest, EnsureAnswer, DemandNews, SidecarReport, LoadReport,
-                 RelayAsk, StoreNews, EnsureCancel, decide::QuotaNews, decide::QuotaAsk,
-                 decide::QuotaAnswer, decide::QuotaReturn, decide::PoisonEvidence,
-                 decide::PoisonCleared, decide::QuarantineNews, decide::LimitNews, decide::LimitAsk,
-                 decide::LimitAnswer, decide::LimitReturn, SpecAsk, SpecNews>;
+using Message = std::variant<EngineUpdate, EnsureRequest, EnsureAnswer, DemandUpdate, SidecarReport,
+                             LoadReport, RelayRequest, StoreUpdate, EnsureCancel,
+                             decide::QuotaUpdate, decide::QuotaRequest, decide::QuotaAnswer,
+                             decide::QuotaReturn, decide::PoisonEvidence, decide::PoisonCleared,
+                             decide::QuarantineUpdate, decide::LimitUpdate, decide::LimitRequest,
+                             decide::LimitAnswer, decide::LimitReturn, SpecRequest, SpecAnswer>;
 
 //! What a message is about, in logs and counters.
 std::string_view kindOf( const Message& message );
--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -45,9 +45,9 @@
 //! A service that routes lead to.
 struct Service {
     std::string name;
-    int connectionLimit = 0; //!< connections an upstream accepts from all callers together
-    Millis coldTime{ 0 };    //!< an upstream is cold for so long after its start
-    double coldPerS = 0;     //!< requests a second that one bears while it is cold
+    int connectionLimit = 0;  //!< connections an upstream accepts from all callers together
+    Millis coldDuration{ 0 }; //!< an upstream is cold for so long after its start
+    double coldPerS = 0;      //!< requests a second that one bears while it is cold
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
 };
 
@@ -111,17 +111,17 @@
 
 //! When a start of an upstream began, in Unix milliseconds by its own clock; 0: not told. Compared
 //! between starts of one upstream only.
-using Born = std::int64_t;
+using StartTime = std::int64_t;
 
 //! True when something about one start is older than what is known: it comes too late.
-inline bool isFormer( Born told, Born known ) noexcept {
+inline bool isOlderStart( StartTime told, StartTime known ) noexcept {
     return told != 0 && told < known;
 }
 
 //! An upstream as the platform lists it. It may start again under its id, and knows nothing then.
 struct Upstream {
     std::string id;
-    Born born = 0;
+    StartTime born = 0;
     decide::StorePosition created; //!< in the store, at which it was first listed
     std::string service;
     std::string ip;
@@ -144,13 +144,13 @@
 
 //! What an engine tells about itself.
 struct EngineReport {
-    Born born = 0;
+    StartTime born = 0;
     std::vector<Resident> residents;
-    std::vector<std::string> coming; //!< adapters on their way: MODEL/NAME
+    std::vector<std::string> loadingAdapters; //!< adapters on their way: MODEL/NAME
     std::vector<std::string> onDisk;
     std::vector<std::string> inMemory;
-    bool ordering = false;      //!< an order is under way
-    std::uint64_t sequence = 0; //!< orders taken
+    bool orderInProgress = false; //!< an order is under way
+    std::uint64_t sequence = 0;   //!< orders taken
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
     std::uint32_t prefilling =
@@ -173,7 +173,7 @@
     std::string model;
     std::string adapter; //!< empty: none
     std::int64_t promptTokens = 0;
-    std::int64_t mostTokens = 0;
+    std::int64_t maxTokens = 0;
     std::vector<PromptPart> parts;
 };
 
--- a/src/gateway/node.cpp
+++ b/src/gateway/node.cpp
@@ -35,7 +35,7 @@
     return report && now - reportAt < reportLife;
 }
 
-bool Node::awaitsReport( MonoTime now ) const {
+bool Node::awaitsFirstReport( MonoTime now ) const {
     return engine && sidecar && !report && now - addedAt < firstReport;
 }
 
@@ -53,14 +53,14 @@
                                              adapter ) != resident->adapters.end();
 }
 
-void Node::beginAnew( Born born, MonoTime now ) {
+void Node::resetForRestart( StartTime born, MonoTime now ) {
     upstream.born = born;
     upstream.residents.clear();
     addedAt = now;
     pool = {};
     health = {};
     announced = {};
-    limit = { {}, decide::Turns( limit.turns.phase() ), {}, {} };
+    limit = { {}, decide::SendSchedule( limit.sendSchedule.phase() ), {}, {} };
     slowStart = {};
     reading = {};
     cold = decide::ColdGate( cold.phase() );
@@ -133,16 +133,16 @@
     readingWaitAt = now;
 }
 
-double Node::readingWait( MonoTime now ) const {
+double Node::readingWaitLeft( MonoTime now ) const {
     const auto passed = std::chrono::duration<double, std::milli>( now - readingWaitAt ).count();
     return std::max( readingWaitMs - passed, 0.0 );
 }
 
-bool Node::asksSidecar( MonoTime now ) const {
-    return engine && sidecar && sidecar->answers( now ) && reportFresh( now );
+bool Node::sidecarAdmitsPrompts( MonoTime now ) const {
+    return engine && sidecar && sidecar->isResponsive( now ) && reportFresh( now );
 }
 
-std::set<std::string> Node::modelsOfInterest( MonoTime now ) const {
+std::set<std::string> Node::modelsHeldOrInFlight( MonoTime now ) const {
     std::set<std::string> out;
     for( const auto& it : residents( now ) ) {
         out.insert( it.model );
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -5,7 +5,7 @@
 #include "decide/announcement.hpp"
 #include "decide/backoff.hpp"
 #include "decide/cold_gate.hpp"
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "gateway/connection_pool.hpp"
 #include "gateway/health.hpp"
 #include "gateway/messages.hpp"
@@ -32,8 +32,8 @@
 
     Upstream upstream;
     MonoTime addedAt;                         //!< when this gateway first heard of it
-    Born toldBorn = 0;                        //!< start that its sidecar was told of
-    SpecTextPtr toldSpec;                     //!< description that its sidecar was told of
+    StartTime bornSentToSidecar = 0;          //!< start that its sidecar was told of
+    EncodedSpecPtr specSentToSidecar;         //!< description that its sidecar was told of
     std::shared_ptr<const EngineSpec> engine; //!< null for plain services
     Millis gapTarget{ 0 };                    //!< of the service's streams; 0: none
     ConnectionPool pool;
@@ -43,14 +43,14 @@
     std::shared_ptr<SidecarLink> sidecar; //!< null for plain services
     std::optional<SidecarReport> report;  //!< the sidecar's last
     MonoTime reportAt;
-    bool engineReachable = true;      //!< as the sidecar says
-    bool common = false;              //!< all gateways are connected to its sidecar
-    decide::Announcements announced;  //!< what it has said of itself in its answers
-    decide::LimitState limit;         //!< what it takes from all gateways together
-    decide::SlowStart slowStart;      //!< what it is sent behind a back-off
-    decide::ColdGate cold;            //!< what it bears after a start
+    bool engineReachable = true;         //!< as the sidecar says
+    bool connectedToAllGateways = false; //!< all gateways are connected to its sidecar
+    decide::AnnouncedState announced;    //!< what it has said of itself in its answers
+    decide::LimitState limit;            //!< what it takes from all gateways together
+    decide::SlowStart slowStart;         //!< what it is sent behind a back-off
+    decide::ColdGate cold;               //!< what it bears after a start
     double coldPerS = 0;              //!< requests a second that it is sent while cold; 0: no rule
-    Millis coldTime{ 0 };             //!< how long upstreams of its service stay cold
+    Millis coldDuration{ 0 };         //!< how long upstreams of its service stay cold
     bool replaced = false;            //!< another start has the address; the entry is about to go
     bool gone = false;                //!< no longer in the fleet
     std::optional<MonoTime> leavesAt; //!< it was announced to be gone by then
@@ -58,7 +58,7 @@
     int inFlight = 0;
     int prefilling = 0;       //!< of those, without a first event yet
     double prefillMs = 0;     //!< their estimated prompt reading time
-    MonoTime lastHeard;       //!< bytes from any of its connections
+    MonoTime lastReceivedAt;  //!< bytes from any of its connections
     double readingWaitMs = 0; //!< until it could begin with a prompt, as its sidecar last said
     MonoTime readingWaitAt;   //!< when the sidecar said so
     std::map<std::string, MonoTime>
@@ -69,7 +69,7 @@
 
     //! It has started again under its id: nothing that was known of the earlier start holds. What
     //! is in flight goes on counting until it ends.
-    void beginAnew( Born born, MonoTime now );
+    void resetForRestart( StartTime born, MonoTime now );
     //! True when it is about to end, by its entry or by its own word, which is some hundred
     //! milliseconds earlier and comes also when the store does not.
     bool leaving() const { return upstream.state != UpstreamState::ready || announced.leaving(); }
@@ -88,7 +88,7 @@
     }
     bool reportFresh( MonoTime now ) const;
     //! True while its sidecar has had little time to report: what it holds is not known yet.
-    bool awaitsReport( MonoTime now ) const;
+    bool awaitsFirstReport( MonoTime now ) const;
     //! How much prompt reading this gateway may ask of it.
     ReadingBudget::Limits readingLimits( MonoTime now ) const;
     //! What it holds: by the sidecar's report when fresh, else by its entry.
@@ -96,7 +96,7 @@
     bool holdsModel( std::string_view model, MonoTime now ) const;
     bool holdsAdapter( std::string_view model, std::string_view adapter, MonoTime now ) const;
     //! Models that it holds, and those that requests are in flight for.
-    std::set<std::string> modelsOfInterest( MonoTime now ) const;
+    std::set<std::string> modelsHeldOrInFlight( MonoTime now ) const;
     //! Notes a prompt that is sent there.
     void notePrompt( std::span<const std::uint64_t> keys, const Generation& generation );
     //! It stays cold for this much longer, as far as is told.
@@ -107,9 +107,9 @@
     //! Takes the sidecar's word on when the engine could begin with a prompt.
     void takeReadingWait( double waitMs, MonoTime now );
     //! What is left of that wait.
-    double readingWait( MonoTime now ) const;
+    double readingWaitLeft( MonoTime now ) const;
     //! True when prompts are sent with its sidecar's leave.
-    bool asksSidecar( MonoTime now ) const;
+    bool sidecarAdmitsPrompts( MonoTime now ) const;
     //! Requests of this gateway in flight there for a model, or for MODEL/NAME.
     int runningOf( std::string_view key ) const;
     //! Adapters of a model that were sent there since the last demand message or are in flight.
--- a/src/gateway/organisation.cpp
+++ b/src/gateway/organisation.cpp
@@ -18,7 +18,8 @@
     if( limit.unit == QuotaUnit::requests ) {
         return 1;
     }
-    return static_cast<double>( std::max<std::int64_t>( tokens.value_or( limit.plainTokens ), 0 ) );
+    return static_cast<double>(
+        std::max<std::int64_t>( tokens.value_or( limit.defaultTokens ), 0 ) );
 }
 
 } // namespace coursehead::gateway
--- a/src/gateway/organisation.hpp
+++ b/src/gateway/organisation.hpp
@@ -43,7 +43,7 @@
     double perS = 0;  //!< units a second; 0: no limit
     double burst = 0; //!< units on top
     QuotaUnit unit = QuotaUnit::requests;
-    std::int64_t plainTokens = 0; //!< what a request counts that does not say its tokens
+    std::int64_t defaultTokens = 0; //!< what a request counts that does not say its tokens
 
     bool operator==( const QuotaLimit& ) const = default;
     bool limited() const noexcept { return perS > 0; }
--- a/src/gateway/poison_guard.cpp
+++ b/src/gateway/poison_guard.cpp
@@ -19,7 +19,7 @@
 //! Contents that a line names.
 constexpr std::size_t mostLogged = 8;
 
-std::string namesOf( std::span<const decide::BrokenRun> runs ) {
+std::string namesOf( std::span<const decide::InterruptedRun> runs ) {
     std::string out;
     for( const auto& it : runs.first( std::min( runs.size(), mostLogged ) ) ) {
         out += ( out.empty() ? "" : "," ) + decide::fingerprintText( it.fingerprint );
@@ -31,8 +31,9 @@
 
 PoisonGuard::PoisonGuard( net::asio::io_context& context, Fleet& fleet, metrics::Metrics& metrics )
     : m_context( context ), m_fleet( fleet ), m_metrics( metrics ) {
-    m_fleet.onQuarantines(
-        [this]( const decide::QuarantineNews& news ) { take( news.entries, "sidecar" ); } );
+    m_fleet.onQuarantines( [this]( const decide::QuarantineUpdate& news ) {
+        applyUpdate( news.entries, "sidecar" );
+    } );
 }
 
 void PoisonGuard::noteBroken( const NodePtr& node, decide::Fingerprint fingerprint,
@@ -41,7 +42,7 @@
     const bool leaving = node->leaving() || node->leavesAt;
     // Sends that were under way when their content was quarantined show nothing new.
     const bool known = holdLeft( fingerprint, MonoClock::now() ).count() > 0;
-    if( leaving || known || m_whole.forgive( fingerprint ) ) {
+    if( leaving || known || m_whole.consume( fingerprint ) ) {
         return;
     }
     auto [it, first] = m_broken.try_emplace( node->upstream.id );
@@ -77,7 +78,8 @@
     if( ec ) {
         co_return true;
     }
-    net::SocketDeadline deadline( socket, MonoClock::now() + probeStays, net::WhenDue::cancel );
+    net::SocketDeadline deadline( socket, MonoClock::now() + probeStays,
+                                  net::DeadlineAction::cancel );
     co_await socket.async_wait( net::Socket::wait_read, net::tupled );
     if( !deadline.expired() ) {
         co_return true;
@@ -113,19 +115,21 @@
     std::vector<std::string_view> ips;
     std::vector<std::shared_ptr<SidecarLink>> links;
     for( const auto& [id, node] : m_fleet.nodes() ) {
-        if( node->sidecar && node->common && node->sidecar->mayAnswer( now ) ) {
+        if( node->sidecar && node->connectedToAllGateways &&
+            node->sidecar->mayBeResponsive( now ) ) {
             ips.emplace_back( node->upstream.ip );
             links.push_back( node->sidecar );
         }
     }
     std::vector<std::shared_ptr<SidecarLink>> out;
-    for( const auto n : decide::holdersOf( fingerprint, ips ) ) {
+    for( const auto n : decide::poisonHolders( fingerprint, ips ) ) {
         out.push_back( links[n] );
     }
     return out;
 }
 
-void PoisonGuard::tell( const std::string& upstreamId, std::span<const decide::BrokenRun> runs ) {
+void PoisonGuard::tell( const std::string& upstreamId,
+                        std::span<const decide::InterruptedRun> runs ) {
     const auto now = MonoClock::now();
     std::map<std::shared_ptr<SidecarLink>, decide::PoisonEvidence> told;
     std::vector<decide::Quarantine> own;
@@ -142,10 +146,11 @@
     for( auto& [holder, evidence] : told ) {
         holder->send( Message( std::move( evidence ) ) );
     }
-    take( own, "own" );
+    applyUpdate( own, "own" );
 }
 
-void PoisonGuard::take( std::span<const decide::Quarantine> entries, std::string_view from ) {
+void PoisonGuard::applyUpdate( std::span<const decide::Quarantine> entries,
+                               std::string_view from ) {
     const auto now = MonoClock::now();
     for( const auto& it : entries ) {
         if( !m_quarantines.put( it, now ) ) {
--- a/src/gateway/poison_guard.hpp
+++ b/src/gateway/poison_guard.hpp
@@ -3,9 +3,9 @@
 #define COURSEHEAD_GATEWAY_POISON_GUARD_HPP_INCLUDED
 
 #include "coursehead/metrics/metrics.hpp"
-#include "decide/poison_book.hpp"
+#include "decide/completed_runs.hpp"
+#include "decide/poison_counter.hpp"
 #include "decide/quarantine_list.hpp"
-#include "decide/whole_runs.hpp"
 #include "gateway/fleet.hpp"
 
 #include <map>
@@ -37,13 +37,13 @@
     //! A request has run to its end.
     void noteWhole( decide::Fingerprint fingerprint );
     //! What a sidecar or the store knows to be quarantined.
-    void take( std::span<const decide::Quarantine> entries, std::string_view from );
+    void applyUpdate( std::span<const decide::Quarantine> entries, std::string_view from );
 
 private:
     //! Finds out whether the upstream of broken runs has ended, and tells of it.
     net::Task<> settle( NodePtr node );
     net::Task<bool> hasEnded( const Node& node );
-    void tell( const std::string& upstreamId, std::span<const decide::BrokenRun> runs );
+    void tell( const std::string& upstreamId, std::span<const decide::InterruptedRun> runs );
     //! Links to the processes that count a content's ends.
     std::vector<std::shared_ptr<SidecarLink>> holders( decide::Fingerprint fingerprint,
                                                        MonoTime now ) const;
@@ -51,10 +51,10 @@
     net::asio::io_context& m_context;
     Fleet& m_fleet;
     metrics::Metrics& m_metrics;
-    decide::PoisonBook m_book; //!< what this gateway saw
+    decide::PoisonCounter m_book; //!< what this gateway saw
     decide::QuarantineList m_quarantines;
-    decide::WholeRuns m_whole;
-    std::map<std::string, std::vector<decide::BrokenRun>> m_broken; //!< by upstream, unsettled
+    decide::CompletedRuns m_whole;
+    std::map<std::string, std::vector<decide::InterruptedRun>> m_broken; //!< by upstream, unsettled
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/prefix_cache.cpp
+++ b/src/gateway/prefix_cache.cpp
@@ -20,8 +20,8 @@
     trim();
 }
 
-std::int64_t PrefixCache::kept( std::span<const std::uint64_t> keys,
-                                const Generation& generation ) const {
+std::int64_t PrefixCache::cachedTokens( std::span<const std::uint64_t> keys,
+                                        const Generation& generation ) const {
     std::int64_t out = 0;
     for( std::size_t n = 0; n < keys.size(); ++n ) {
         if( !m_index.contains( keys[n] ) ) {
--- a/src/gateway/prefix_cache.hpp
+++ b/src/gateway/prefix_cache.hpp
@@ -24,7 +24,8 @@
 
     void setCapacity( std::int64_t tokens );
     //! Tokens of the prompt that need not be read again.
-    std::int64_t kept( std::span<const std::uint64_t> keys, const Generation& generation ) const;
+    std::int64_t cachedTokens( std::span<const std::uint64_t> keys,
+                               const Generation& generation ) const;
     //! Records that the prompt was read there.
     void insert( std::span<const std::uint64_t> keys, const Generation& generation );
     //! Records that one part was read there, with all before it.
--- a/src/gateway/prepare.cpp
+++ b/src/gateway/prepare.cpp
@@ -32,21 +32,21 @@
     }
     const auto now = MonoClock::now();
     const auto link = choice.node->sidecar;
-    if( link && link->untried( now ) && timeLeft( now ) ) {
-        const bool reached = co_await link->opened( openLimit );
+    if( link && link->reachabilityUnknown( now ) && timeLeft( now ) ) {
+        const bool reached = co_await link->waitUntilOpen( openLimit );
         if( reached ) {
             co_return Next::again;
         }
     }
     const bool holds = choice.holdsModel && choice.holdsAdapter;
-    if( !holds && choice.node->awaitsReport( now ) && timeLeft( now ) ) {
+    if( !holds && choice.node->awaitsFirstReport( now ) && timeLeft( now ) ) {
         co_await net::pause( m_shared.context, startLook );
         co_return Next::again;
     }
     if( !holds && tooLateThere( choice, now ) ) {
         co_return Next::stop;
     }
-    if( choice.node->asksSidecar( now ) ) {
+    if( choice.node->sidecarAdmitsPrompts( now ) ) {
         co_return co_await askSidecar( choice );
     }
     // Without a sidecar nobody orders loads there, and this gateway keeps its own budget.
@@ -55,7 +55,7 @@
         co_await net::pause( m_shared.context, wait );
         co_return Next::again;
     }
-    m_lastWhy = holds ? m_lastWhy : "model not ready";
+    m_lastFailure = holds ? m_lastFailure : "model not ready";
     co_return holds ? sendUnasked( *choice.node ) : Next::elsewhere;
 }
 
@@ -67,7 +67,7 @@
     const auto share = unaskedPart * node.coldPerS / std::max( m_shared.fleet.gateways(), 1 );
     const auto wait = node.cold.wait( share, now );
     if( wait.count() > 0 ) {
-        m_lastWhy = "upstreams are cold";
+        m_lastFailure = "upstreams are cold";
         m_retryAfter = std::max( m_retryAfter, std::min( wait, modelRetryAfter ) );
         return Next::elsewhere;
     }
@@ -117,8 +117,8 @@
 
 net::Task<Exchange::Next> Exchange::waitForTurn( const Choice& choice ) {
     if( MonoClock::now() + turnLook > waitLimit( choice ) ) {
-        m_lastWhy = "upstreams are back from a back-off, and busy";
-        m_retryAfter = usualRetryAfter;
+        m_lastFailure = "upstreams are back from a back-off, and busy";
+        m_retryAfter = defaultRetryAfter;
         co_return Next::stop;
     }
     co_await net::pause( m_shared.context, turnLook );
@@ -128,12 +128,12 @@
 EnsureRequest Exchange::question( const Choice& choice, MonoTime now ) const {
     const auto& generation = *m_need.generation;
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    const auto goalEnd = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
+    const auto goalEnd = m_request.arrived + maxWaitBeforeSend( { m_route->goal, {}, {} }, work );
     const auto lastEnd = std::min( m_deadline, waitLimit( choice ) );
     EnsureRequest out;
     out.model = generation.model;
     out.adapter = generation.adapter;
-    out.prompt = m_shared.fleet.askedPrompt( m_need );
+    out.prompt = m_shared.fleet.describePrompt( m_need );
     out.prompt.goalMs = remaining( now, goalEnd ).count();
     // Where something has to be loaded first, or others had no room, late is better than never.
     out.prompt.late = !choice.holdsModel || m_refusals >= inTimeAsks || out.prompt.goalMs == 0;
@@ -149,7 +149,7 @@
     const auto answer = co_await m_shared.fleet.ensure( std::move( node ), std::move( request ) );
     logAsk( choice, answer, asked );
     const auto next = followAnswer( choice, answer, late );
-    if( answer.outcome == EnsureOutcome::needStore ) {
+    if( answer.outcome == EnsureOutcome::needsWeightStore ) {
         // Nobody has the model nearer: the weight store's rate lets it in before long.
         co_await net::pause( m_shared.context, storePoll );
     }
@@ -163,20 +163,20 @@
         choice.workMs = answer.workMs;
         choice.unqueued = choice.unqueued && answer.waitMs <= answer.workMs;
         return Next::send;
-    case EnsureOutcome::needStore:
-        m_lastWhy = "model not ready";
+    case EnsureOutcome::needsWeightStore:
+        m_lastFailure = "model not ready";
         m_retryAfter = modelRetryAfter;
         return Next::again;
-    case EnsureOutcome::later:
+    case EnsureOutcome::tooLate:
         ++m_refusals;
-        m_lastWhy = "engines are busy";
-        m_retryAfter = std::max( Millis( answer.waitMs ), usualRetryAfter );
+        m_lastFailure = "engines are busy";
+        m_retryAfter = std::max( Millis( answer.waitMs ), defaultRetryAfter );
         return late ? Next::stop : Next::again;
-    case EnsureOutcome::noRoom:
+    case EnsureOutcome::noCapacity:
     case EnsureOutcome::failed:
         break;
     }
-    m_lastWhy = "model not ready";
+    m_lastFailure = "model not ready";
     m_retryAfter = modelRetryAfter;
     return Next::elsewhere;
 }
@@ -198,17 +198,17 @@
     // Looked at again soon: another upstream may have become the better one.
     constexpr Millis look{ 25 };
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    const auto latest = m_request.arrived + longestWait( { m_route->goal, {}, {} }, work );
-    if( choice.paceMs <= 0 || now >= latest ) {
+    const auto latest = m_request.arrived + maxWaitBeforeSend( { m_route->goal, {}, {} }, work );
+    if( choice.sendDelayMs <= 0 || now >= latest ) {
         return Millis{ 0 };
     }
-    return std::min(
-        { Millis( static_cast<std::int64_t>( choice.paceMs ) ), look, remaining( now, latest ) } );
+    return std::min( { Millis( static_cast<std::int64_t>( choice.sendDelayMs ) ), look,
+                       remaining( now, latest ) } );
 }
 
 MonoTime Exchange::waitLimit( const Choice& choice ) const {
     const Millis work{ static_cast<std::int64_t>( choice.workMs ) };
-    return m_request.arrived + longestWait( m_patience, work );
+    return m_request.arrived + maxWaitBeforeSend( m_patience, work );
 }
 
 bool Exchange::tooLateThere( const Choice& choice, MonoTime now ) {
@@ -218,8 +218,8 @@
     }
     // The client would leave before the load is done. Told so at once it can be back when it is:
     // the load begins now, for it and for others.
-    m_lastWhy = "model not ready";
-    m_retryAfter = std::max( load, usualRetryAfter );
+    m_lastFailure = "model not ready";
+    m_retryAfter = std::max( load, defaultRetryAfter );
     if( !choice.holdsModel ) {
         m_shared.fleet.startLoad( choice.node, m_request.head.generation->model );
     }
--- a/src/gateway/reading_leave.hpp
+++ b/src/gateway/prompt_permit.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
-#define COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
+#ifndef COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
+#define COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
 
 #include "gateway/fleet.hpp"
 
@@ -10,17 +10,17 @@
 
 //! A sidecar's leave to send one prompt to its engine. Unless it is used the sidecar hears that the
 //! prompt does not come: the engine's time would be kept for it otherwise.
-class ReadingLeave {
+class PromptPermit {
 public:
-    ReadingLeave( NodePtr node, EnsureAnswer answer )
+    PromptPermit( NodePtr node, EnsureAnswer answer )
         : m_node( std::move( node ) ), m_answer( answer ) {}
-    ~ReadingLeave() {
+    ~PromptPermit() {
         if( m_node ) {
             Fleet::handBack( *m_node, m_answer );
         }
     }
-    ReadingLeave( const ReadingLeave& ) = delete;
-    ReadingLeave& operator=( const ReadingLeave& ) = delete;
+    PromptPermit( const PromptPermit& ) = delete;
+    PromptPermit& operator=( const PromptPermit& ) = delete;
 
     void use() { m_node.reset(); }
 
@@ -31,4 +31,4 @@
 
 } // namespace coursehead::gateway
 
-#endif // COURSEHEAD_GATEWAY_READING_LEAVE_HPP_INCLUDED
+#endif // COURSEHEAD_GATEWAY_PROMPT_PERMIT_HPP_INCLUDED
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -24,12 +24,12 @@
     // True, and without a promise that it will be served then: it gets one more try.
     std::string reason( quarantined );
     m_shared.metrics.count( "quarantined_requests" );
-    co_await answerOwn( statusUnavailable, std::move( reason ), left );
+    co_await sendOwnAnswer( statusUnavailable, std::move( reason ), left );
     logEnd( "quarantined" );
     co_return true;
 }
 
-bool Exchange::maySend() {
+bool Exchange::contentMayBeSent() {
     if( m_shared.poison == nullptr ) {
         return true;
     }
@@ -38,7 +38,7 @@
     if( left.count() == 0 && !tried ) {
         return true;
     }
-    m_lastWhy = quarantined;
+    m_lastFailure = quarantined;
     m_retryAfter = std::max( m_retryAfter, left );
     log::info( "send_withheld", { { "id", m_request.head.requestId },
                                   { "fingerprint", decide::fingerprintText( m_fingerprint ) },
@@ -46,15 +46,15 @@
     return false;
 }
 
-void Exchange::judgeContent( const NodePtr& node, const Sent& sent, MonoTime now ) {
+void Exchange::recordPoisonEvidence( const NodePtr& node, const SendResult& sent, MonoTime now ) {
     if( m_shared.poison == nullptr ) {
         return;
     }
-    if( sent.end == SendEnd::answered || sent.end == SendEnd::streamed ) {
+    if( sent.end == SendOutcome::answered || sent.end == SendOutcome::streamed ) {
         m_shared.poison->noteWhole( m_fingerprint );
-    } else if( sent.broke ) {
-        const auto eventsMs = m_heardAt ? millisBetween( *m_heardAt, now ) : -1;
-        m_shared.poison->noteBroken( node, m_fingerprint, decide::weightOf( eventsMs ) );
+    } else if( sent.connectionBroke ) {
+        const auto eventsMs = m_firstEventAt ? millisBetween( *m_firstEventAt, now ) : -1;
+        m_shared.poison->noteBroken( node, m_fingerprint, decide::evidenceWeight( eventsMs ) );
     }
 }
 
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -71,9 +71,9 @@
 void QuotaClient::tellHolders( MonoTime now ) {
     m_toldAt = now;
     for( const auto& [ip, link] : m_links.all() ) {
-        auto news = m_book.newsFor( ip );
+        auto news = m_book.updateFor( ip );
         const bool concerns = !news.rates.empty() || m_told.contains( ip );
-        if( !concerns || !link->mayAnswer( now ) ) {
+        if( !concerns || !link->mayBeResponsive( now ) ) {
             continue;
         }
         if( news.rates.empty() ) {
@@ -83,7 +83,7 @@
         }
         news.gateway = m_vm;
         link->send( Message( std::move( news ) ) );
-        m_book.noteTold( ip, now );
+        m_book.noteUpdateSent( ip, now );
     }
 }
 
@@ -94,12 +94,12 @@
     if( !holder ) {
         co_return std::nullopt;
     }
-    decide::QuotaAsk question;
+    decide::QuotaRequest question;
     question.organisation = organisation;
     question.needed = units;
-    question.wished = m_book.wishFor( organisation, units, asked );
-    question.patienceMs = remaining( asked, until ).count();
-    const auto answer = co_await holder->askQuota( std::move( question ), askLimit );
+    question.preferred = m_book.amountToRequest( organisation, units, asked );
+    question.maxWaitMs = remaining( asked, until ).count();
+    const auto answer = co_await holder->requestQuota( std::move( question ), askLimit );
     if( !answer || !answer->known ) {
         co_return std::nullopt;
     }
@@ -107,7 +107,7 @@
         const auto after = std::max( Millis( answer->waitMs ), leastRetryAfter );
         co_return QuotaDecision{ QuotaVerdict::over, after };
     }
-    m_book.keep( organisation, answer->granted - units, asked );
+    m_book.addGrant( organisation, answer->granted - units, asked );
     if( answer->waitMs > 0 ) {
         co_await net::pause( m_context, Millis( answer->waitMs ) );
     }
@@ -132,13 +132,13 @@
             co_return QuotaDecision{};
         }
         if( now + lookAgain >= until ) {
-            co_return QuotaDecision{ QuotaVerdict::unknown, decide::QuotaBook::reserveWait() };
+            co_return QuotaDecision{ QuotaVerdict::unknown, decide::GatewayQuotas::reserveWait() };
         }
         co_await net::pause( m_context, lookAgain );
     }
 }
 
-void QuotaClient::giveBack( const std::string& organisation, double units ) {
+void QuotaClient::refund( const std::string& organisation, double units ) {
     const auto now = MonoClock::now();
     const auto link = m_links.find( m_book.holderOf( organisation, now ) );
     if( link ) {
--- a/src/gateway/quota_client.hpp
+++ b/src/gateway/quota_client.hpp
@@ -2,7 +2,7 @@
 #ifndef COURSEHEAD_GATEWAY_QUOTA_CLIENT_HPP_INCLUDED
 #define COURSEHEAD_GATEWAY_QUOTA_CLIENT_HPP_INCLUDED
 
-#include "decide/quota_book.hpp"
+#include "decide/gateway_quotas.hpp"
 #include "gateway/holder_links.hpp"
 #include "platform/node_settings.hpp"
 
@@ -38,7 +38,7 @@
     //! Takes `units` of an organisation's limit; waits up to `patience` for them.
     net::Task<QuotaDecision> obtain( std::string organisation, double units, Millis patience );
     //! A request that took units has not run.
-    void giveBack( const std::string& organisation, double units );
+    void refund( const std::string& organisation, double units );
 
 private:
     //! What a question to a holder came to; nullopt: nobody could be asked.
@@ -49,7 +49,7 @@
 
     net::asio::io_context& m_context;
     std::string m_vm;
-    decide::QuotaBook m_book;
+    decide::GatewayQuotas m_book;
     HolderLinks m_links;
     std::set<std::string> m_told; //!< addresses that count this gateway
     MonoTime m_toldAt;
--- a/src/gateway/registry.cpp
+++ b/src/gateway/registry.cpp
@@ -32,7 +32,7 @@
     return !m_reachable || ( m_troubleEnd && now - *m_troubleEnd < m_settings.lapseHold );
 }
 
-void Registry::list( std::vector<Upstream> upstreams, MonoTime now ) {
+void Registry::applyListing( std::vector<Upstream> upstreams, MonoTime now ) {
     std::set<std::string> seen;
     for( auto& it : upstreams ) {
         seen.insert( it.id );
@@ -51,7 +51,7 @@
 
 void Registry::put( Upstream upstream, MonoTime ) {
     const auto known = m_members.find( upstream.id );
-    if( known != m_members.end() && isFormer( upstream.born, known->second.upstream.born ) ) {
+    if( known != m_members.end() && isOlderStart( upstream.born, known->second.upstream.born ) ) {
         return;
     }
     if( hasLeft( upstream ) ) {
--- a/src/gateway/registry.hpp
+++ b/src/gateway/registry.hpp
@@ -32,7 +32,7 @@
     explicit Registry( Settings settings ) : m_settings( settings ) {}
 
     //! All entries at this moment.
-    void list( std::vector<Upstream> upstreams, MonoTime now );
+    void applyListing( std::vector<Upstream> upstreams, MonoTime now );
     void put( Upstream upstream, MonoTime now );
     void remove( const std::string& id, MonoTime now );
     //! The store ceased to answer, or answers again.
@@ -58,7 +58,7 @@
     Settings m_settings;
     //! A start that was leaving when its entry went.
     struct Left {
-        Born born = 0;
+        StartTime born = 0;
         MonoTime at;
     };
     std::map<std::string, Member> m_members;
--- a/src/gateway/relay_times.hpp
+++ b/src/gateway/relay_times.hpp
@@ -27,19 +27,19 @@
 }
 
 //! How long a relay's watch on upstreams waits: it speaks at least that often.
-inline Millis relayWait( const platform::Bounds& bounds ) {
+inline Millis relayWatchWait( const platform::Bounds& bounds ) {
     constexpr double part = 0.33;
     return partOf( bounds.drain, part );
 }
 
 //! Between a relay's calls, so that changes come in batches.
-inline Millis relayPause( const platform::Bounds& bounds ) {
+inline Millis relayCallPause( const platform::Bounds& bounds ) {
     constexpr double part = 0.15;
     return partOf( bounds.drain, part );
 }
 
 //! Silence after which a relay is left: a wait, a pause, and a sixth for the way.
-inline Millis relaySilence( const platform::Bounds& bounds ) {
+inline Millis relaySilenceLimit( const platform::Bounds& bounds ) {
     constexpr double part = 0.65;
     return partOf( bounds.drain, part );
 }
--- a/src/gateway/retry_window.cpp
+++ b/src/gateway/retry_window.cpp
@@ -21,7 +21,7 @@
     }
 }
 
-void RetryWindow::countFirst( MonoTime now ) {
+void RetryWindow::countFirstSend( MonoTime now ) {
     m_firsts.push_back( now );
     if( m_firsts.size() > maxFirsts ) {
         m_firsts.pop_front();
--- a/src/gateway/retry_window.hpp
+++ b/src/gateway/retry_window.hpp
@@ -19,7 +19,7 @@
 //! First sends and retries of one service within a sliding window.
 class RetryWindow {
 public:
-    void countFirst( MonoTime now );
+    void countFirstSend( MonoTime now );
     //! Takes one retry; false when the share is used up.
     bool take( const RetryShare& share, MonoTime now );
 
--- a/src/gateway/selection.cpp
+++ b/src/gateway/selection.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-void assumeUnseen( std::span<Candidate> candidates ) {
+void estimateUnseenLoads( std::span<Candidate> candidates ) {
     double backlogMs = 0;
     int seen = 0;
     Candidate* home = nullptr;
@@ -49,8 +49,8 @@
         }
     }
     if( home != nullptr && !home->seen ) {
-        home->workMs = std::min( home->workMs, home->homeWorkMs );
-        home->freshTokens = std::min( home->freshTokens, home->homeTokens );
+        home->workMs = std::min( home->workMs, home->unsharedWorkMs );
+        home->uncachedTokens = std::min( home->uncachedTokens, home->unsharedTokens );
     }
     const double usual = seen > 0 ? backlogMs / seen : 0;
     for( auto& it : candidates ) {
@@ -61,9 +61,9 @@
 }
 
 double costOf( const Candidate& candidate ) {
-    return interference( candidate ) + candidate.latePauses * latePauseMs +
+    return interference( candidate ) + candidate.latePauseShare * latePauseMs +
            ( candidate.backlogMs + candidate.workMs ) * candidate.slowness + candidate.loadMs +
-           candidate.paceMs + candidate.leavingMs + candidate.failures * failureMs +
+           candidate.sendDelayMs + candidate.evacuationPenaltyMs + candidate.failures * failureMs +
            ( candidate.otherHall ? candidate.crossHallMs : 0 ) +
            ( candidate.otherRegion ? candidate.crossRegionMs : 0 );
 }
--- a/src/gateway/selection.hpp
+++ b/src/gateway/selection.hpp
@@ -15,26 +15,26 @@
 
 //! An upstream that a request could go to; times in milliseconds.
 struct Candidate {
-    bool avoided = false;         //!< unreachable lately, or full: only when nothing else is left
-    double backlogMs = 0;         //!< work queued ahead of the request
-    std::int64_t freshTokens = 0; //!< of the prompt, to be read
-    double workMs = 0;            //!< reading what is not cached of the prompt, or the usual work
-    double loadMs = 0;            //!< until model and adapter are there
-    double paceMs = 0;          //!< until it should be sent: for the streams there, or a slow start
+    bool avoided = false; //!< unreachable lately, or full: only when nothing else is left
+    double backlogMs = 0; //!< work queued ahead of the request
+    std::int64_t uncachedTokens = 0; //!< of the prompt, to be read
+    double workMs = 0;          //!< reading what is not cached of the prompt, or the usual work
+    double loadMs = 0;          //!< until model and adapter are there
+    double sendDelayMs = 0;     //!< until it should be sent: for the streams there, or a slow start
     double slowness = 1;        //!< factor on backlog and work
     double failures = 0;        //!< recent ones
     std::uint32_t decoding = 0; //!< requests whose events pause while prompts are read there
-    double latePauses = 0;      //!< part of the recent streams there that paused too long
+    double latePauseShare = 0;  //!< part of the recent streams there that paused too long
     bool otherHall = false;
     double crossHallMs = 0; //!< what leaving the hall counts for
     bool otherRegion = false;
-    double crossRegionMs = 0;    //!< what leaving the region counts for
-    double leavingMs = 0;        //!< what speaks against a hall that is being emptied
-    bool seen = true;            //!< its load and what it keeps of prompts are known
-    bool holds = true;           //!< the model is there, or none is needed
-    double homeWorkMs = 0;       //!< reading what is not shared with other prompts
-    std::int64_t homeTokens = 0; //!< the same in tokens
-    std::uint64_t affinity = 0;  //!< rendezvous hash: the highest is preferred among equals
+    double crossRegionMs = 0;        //!< what leaving the region counts for
+    double evacuationPenaltyMs = 0;  //!< what speaks against a hall that is being emptied
+    bool seen = true;                //!< its load and what it keeps of prompts are known
+    bool holds = true;               //!< the model is there, or none is needed
+    double unsharedWorkMs = 0;       //!< reading what is not shared with other prompts
+    std::int64_t unsharedTokens = 0; //!< the same in tokens
+    std::uint64_t affinity = 0;      //!< rendezvous hash: the highest is preferred among equals
 };
 
 /**
@@ -42,7 +42,7 @@
  * they are taken to be as busy as those that are seen, and the preferred one among all that hold
  * the model to keep the prompt's shared parts, since every gateway sends them there.
  */
-void assumeUnseen( std::span<Candidate> candidates );
+void estimateUnseenLoads( std::span<Candidate> candidates );
 //! What sending there would take, with what speaks against it, in milliseconds.
 double costOf( const Candidate& candidate );
 //! The candidate of the lowest cost; avoided ones only when all are. Nullopt when there is none.
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -95,7 +95,7 @@
     if( ec ) {
         co_return nullptr;
     }
-    net::tune( out->socket, upstreamSilence );
+    net::configureSocket( out->socket, upstreamSilence );
     // A request that is given up must not run when its bytes lie with a frozen upstream: nine did,
     // up to two seconds after their clients had left.
     net::resetOnClose( out->socket );
@@ -121,18 +121,18 @@
                  { "left_ms", millisBetween( now, m_deadline ) } } );
 }
 
-net::Task<Exchange::Sent> Exchange::sendTo( NodePtr node, const Choice& choice ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::sendTo( NodePtr node, const Choice& choice ) {
+    SendResult out;
     const bool generates = m_need.generation != nullptr && node->engine != nullptr;
     auto connection = co_await connectionTo( *node );
     auto now = MonoClock::now();
     if( hasLeft( *m_client ) || !timeLeft( now ) ) {
-        out.end = SendEnd::stopped;
+        out.end = SendOutcome::stopped;
         co_return out;
     }
     if( !connection ) {
         noteUnreachable( node->health, now );
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.why = "connect failed";
         log::info( "connect_failed",
                    { { "id", m_request.head.requestId }, { "upstream", node->upstream.id } } );
@@ -143,7 +143,7 @@
         if( now < connection->goodUntil ) {
             node->pool.put( connection );
         }
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.why = "upstream takes no requests";
         co_return out;
     }
@@ -157,7 +157,7 @@
     m_expectedMs = choice.expectedMs;
     m_client->upstream = connection;
     m_sentAt = now;
-    m_heardAt.reset();
+    m_firstEventAt.reset();
     logSend( *node, choice, now );
     if( generates ) {
         node->notePrompt( m_prefix, *m_need.generation );
@@ -166,16 +166,16 @@
     out = co_await receive( *node, connection, choice );
     now = MonoClock::now();
     m_client->upstream.reset();
-    if( out.end != SendEnd::notRun ) {
+    if( out.end != SendOutcome::notRun ) {
         ++m_runs;
     }
-    judgeContent( node, out, now );
-    if( out.end == SendEnd::stopped || m_client->left ) {
-        out.end = SendEnd::stopped;
+    recordPoisonEvidence( node, out, now );
+    if( out.end == SendOutcome::stopped || m_client->left ) {
+        out.end = SendOutcome::stopped;
         m_mayHaveRun = true;
         co_return out;
     }
-    if( out.end == SendEnd::lost || out.end == SendEnd::streamCut ) {
+    if( out.end == SendOutcome::lost || out.end == SendOutcome::streamCut ) {
         noteFailure( node->health, 1.0, now );
         log::info( "send_failed",
                    { { "id", m_request.head.requestId },
@@ -183,12 +183,12 @@
                      { "upstream", node->upstream.id },
                      { "why", out.why },
                      { "sent_ms", millisBetween( m_sentAt, now ) },
-                     { "events_ms", m_heardAt ? millisBetween( *m_heardAt, now ) : -1 },
+                     { "events_ms", m_firstEventAt ? millisBetween( *m_firstEventAt, now ) : -1 },
                      { "beside", node->inFlight },
-                     { "cut_stream", out.end == SendEnd::streamCut ? "yes" : "no" },
+                     { "cut_stream", out.end == SendOutcome::streamCut ? "yes" : "no" },
                      { "after_ms", millisBetween( m_request.arrived, now ) } } );
     }
-    if( out.end == SendEnd::notRun ) {
+    if( out.end == SendOutcome::notRun ) {
         noteFailure( node->health, refusalWeight, now );
         log::info( "send_refused", { { "id", m_request.head.requestId },
                                      { "upstream", node->upstream.id },
@@ -197,9 +197,9 @@
     co_return out;
 }
 
-net::Task<Exchange::Sent> Exchange::receive( Node& node, ConnectionPtr connection,
-                                             const Choice& choice ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::receive( Node& node, ConnectionPtr connection,
+                                                   const Choice& choice ) {
+    SendResult out;
     Transfer transfer( node, std::move( connection ), choice, m_need.generation,
                        m_deadline - answerMargin );
     auto& parser = transfer.parser;
@@ -209,13 +209,13 @@
     const auto [error, n] = co_await http::async_read_header(
         transfer.connection->socket, transfer.connection->buf, parser, net::tupled );
     if( error ) {
-        out.broke = !ended( transfer );
-        out.end = out.broke ? SendEnd::lost : SendEnd::stopped;
+        out.connectionBroke = !ended( transfer );
+        out.end = out.connectionBroke ? SendOutcome::lost : SendOutcome::stopped;
         out.why = error.message();
         transfer.close();
         co_return out;
     }
-    node.lastHeard = MonoClock::now();
+    node.lastReceivedAt = MonoClock::now();
     const auto status = parser.get().result_int();
     transfer.head = platform::readAnswerHead( status, parser.get() );
     hearAnnouncement( transfer );
@@ -264,7 +264,7 @@
 void Exchange::hearLimit( const Transfer& transfer, MonoTime now ) {
     const auto& said = transfer.head.announcement;
     Node& node = transfer.node;
-    if( said.limit == decide::LimitSaid::named ) {
+    if( said.limit == decide::LimitAnnouncement::named ) {
         m_shared.metrics.count( "upstream_limits" );
         if( node.limit.known.noteNamed( said.limitPerS, now ) ) {
             log::info( "upstream_limit", { { "id", m_request.head.requestId },
@@ -275,7 +275,7 @@
     }
     // An answer that is left over from another request may be of any age.
     const bool own = transfer.head.requestId == m_request.head.requestId;
-    const bool none = own && said.limit == decide::LimitSaid::none;
+    const bool none = own && said.limit == decide::LimitAnnouncement::none;
     if( none && node.limit.known.noteNone( transfer.sentAt, now ) ) {
         log::info( "upstream_limit_ended",
                    { { "id", m_request.head.requestId }, { "upstream", node.upstream.id } } );
@@ -286,9 +286,9 @@
     return transfer.deadline.expired() || m_client->left;
 }
 
-net::Task<Exchange::Sent> Exchange::passStream( Transfer& transfer ) {
-    Sent out;
-    EventCutter cutter( m_lastEvent );
+net::Task<Exchange::SendResult> Exchange::passStream( Transfer& transfer ) {
+    SendResult out;
+    EventStreamSplitter cutter( m_lastEvent );
     if( !m_headSent ) {
         m_answer = transfer.answerHead();
     }
@@ -305,21 +305,21 @@
             auto text = streamText( events, finished );
             const bool written = co_await writeClient( std::move( text ) );
             if( !written ) {
-                out.end = SendEnd::stopped;
+                out.end = SendOutcome::stopped;
                 transfer.close();
                 co_return out;
             }
         }
         if( finished ) {
-            out.end = SendEnd::streamed;
+            out.end = SendOutcome::streamed;
             m_answered = true;
             transfer.release( true );
             co_return out;
         }
         if( ec || !sound || transfer.parser.is_done() ) {
-            const auto broken = m_headSent ? SendEnd::streamCut : SendEnd::lost;
-            out.end = ended( transfer ) ? SendEnd::stopped : broken;
-            out.broke = ec && !ended( transfer );
+            const auto broken = m_headSent ? SendOutcome::streamCut : SendOutcome::lost;
+            out.end = ended( transfer ) ? SendOutcome::stopped : broken;
+            out.connectionBroke = ec && !ended( transfer );
             out.why = !sound ? "events out of order" : ec ? ec.message() : "cut inside an event";
             if( !m_headSent ) {
                 m_answer.reset();
@@ -348,8 +348,8 @@
     return out;
 }
 
-net::Task<Exchange::Sent> Exchange::takeWhole( Transfer& transfer ) {
-    Sent out;
+net::Task<Exchange::SendResult> Exchange::takeWhole( Transfer& transfer ) {
+    SendResult out;
     auto whole = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
@@ -368,13 +368,13 @@
         transfer.node.replaced = true;
     }
     if( head.answerClass != AnswerClass::complete ) {
-        out.end = SendEnd::notRun;
+        out.end = SendOutcome::notRun;
         out.why = "status " + std::to_string( whole.status );
         co_return out;
     }
     if( !complete ) {
-        out.end = late ? SendEnd::stopped : SendEnd::lost;
-        out.broke = !late && whole.body.size() <= maxWholeAnswer;
+        out.end = late ? SendOutcome::stopped : SendOutcome::lost;
+        out.connectionBroke = !late && whole.body.size() <= maxWholeAnswer;
         co_return out;
     }
     if( !head.sealed && whole.status < firstError ) {
@@ -387,24 +387,24 @@
     co_return out;
 }
 
-Exchange::SendEnd Exchange::judge( Transfer& transfer, unsigned status ) {
+Exchange::SendOutcome Exchange::judge( Transfer& transfer, unsigned status ) {
     if( upstreamFailed( status ) ) {
         const bool again = m_route->idempotent() && m_runs + 1 < m_route->attempts;
-        return again ? SendEnd::lost : SendEnd::answered;
+        return again ? SendOutcome::lost : SendOutcome::answered;
     }
     const auto now = MonoClock::now();
     transfer.node.slowStart.noteServed();
     noteSuccess( transfer.node.health, static_cast<double>( millisBetween( transfer.sentAt, now ) ),
                  transfer.choice.expectedMs + overheadMs, now );
-    return SendEnd::answered;
+    return SendOutcome::answered;
 }
 
 void Exchange::noteEvents( Transfer& transfer ) {
     const auto now = MonoClock::now();
-    transfer.node.lastHeard = now;
+    transfer.node.lastReceivedAt = now;
     if( !transfer.heardEvents ) {
         transfer.heardEvents = true;
-        m_heardAt = now;
+        m_firstEventAt = now;
         transfer.inFlight.prefillDone();
         const auto measured = static_cast<double>( millisBetween( transfer.sentAt, now ) );
         if( m_need.generation != nullptr ) {
