--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -77,25 +77,25 @@
     close();
 }
 
-bool SidecarLink::mayAnswer( MonoTime now ) const {
-    return up() ? answers( now ) : m_state != LinkState::failing;
+bool SidecarLink::mayBeResponsive( MonoTime now ) const {
+    return up() ? isResponsive( now ) : m_state != LinkState::failing;
 }
 
-bool SidecarLink::untried( MonoTime now ) const {
+bool SidecarLink::reachabilityUnknown( MonoTime now ) const {
     if( up() ) {
         return !m_heard && now - m_upAt < firstWord;
     }
     return m_state != LinkState::failing;
 }
 
-net::Task<bool> SidecarLink::opened( Millis limit ) {
+net::Task<bool> SidecarLink::waitUntilOpen( Millis limit ) {
     const auto me = shared_from_this();
     auto now = MonoClock::now();
     const auto until = now + limit;
     m_usedAt = now;
     open();
     net::Timer timer( m_context );
-    while( !m_stopped && now < until && untried( now ) ) {
+    while( !m_stopped && now < until && reachabilityUnknown( now ) ) {
         m_opening.insert( &timer );
         timer.expires_at( std::min( until, now + firstWord ) );
         co_await timer.async_wait( net::tupled );
@@ -105,7 +105,7 @@
     co_return up() && m_heard;
 }
 
-void SidecarLink::setNews( EngineNews news, SpecTextPtr spec ) {
+void SidecarLink::announceEngine( EngineUpdate news, EncodedSpecPtr spec ) {
     m_spec = std::move( spec );
     news.spec = m_spec ? m_spec->key : 0;
     const Message message( std::move( news ) );
@@ -119,11 +119,11 @@
     }
 }
 
-void SidecarLink::send( const DemandNews& demand ) {
+void SidecarLink::send( const DemandUpdate& demand ) {
     if( !up() ) {
         return;
     }
-    if( MonoClock::now() - m_channel->lastHeard() > silence ) {
+    if( MonoClock::now() - m_channel->lastReceivedAt() > silence ) {
         log::info( "sidecar_silent", { { "ip", m_ip } } );
         m_channel->close();
         return;
@@ -141,15 +141,15 @@
     }
 }
 
-void SidecarLink::askRelay( bool wanted ) {
+void SidecarLink::requestRelay( bool wanted ) {
     m_relayWanted = wanted;
     if( up() ) {
-        transmit( Message( RelayAsk{ wanted } ) );
+        transmit( Message( RelayRequest{ wanted } ) );
     }
 }
 
-bool SidecarLink::answers( MonoTime now ) const {
-    return up() && now - m_channel->lastHeard() <= askSilence;
+bool SidecarLink::isResponsive( MonoTime now ) const {
+    return up() && now - m_channel->lastReceivedAt() <= askSilence;
 }
 
 net::Task<std::optional<Message>> SidecarLink::askFor( std::uint64_t number, Message question,
@@ -160,7 +160,7 @@
     m_usedAt = MonoClock::now();
     transmit( question );
     auto now = MonoClock::now();
-    while( !waiter->ended && now < until && answers( now ) ) {
+    while( !waiter->ended && now < until && isResponsive( now ) ) {
         waiter->timer.expires_after( std::min( silenceLook, remaining( now, until ) ) );
         co_await waiter->timer.async_wait( net::tupled );
         now = MonoClock::now();
@@ -172,7 +172,7 @@
 net::Task<EnsureAnswer> SidecarLink::ensure( EnsureRequest request ) {
     EnsureAnswer out;
     const auto until = MonoClock::now() + Millis( request.limitMs ) + answerDelay;
-    const bool reached = co_await opened( Millis( request.limitMs ) );
+    const bool reached = co_await waitUntilOpen( Millis( request.limitMs ) );
     if( !reached ) {
         co_return out;
     }
@@ -191,7 +191,7 @@
 template <typename Answer, typename Ask>
 net::Task<std::optional<Answer>> SidecarLink::askAs( Ask ask, Millis limit ) {
     const auto until = MonoClock::now() + limit;
-    const bool reached = co_await opened( limit );
+    const bool reached = co_await waitUntilOpen( limit );
     if( !reached ) {
         co_return std::nullopt;
     }
@@ -205,13 +205,13 @@
     co_return std::get<Answer>( *answer );
 }
 
-net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::askQuota( decide::QuotaAsk ask,
-                                                                     Millis limit ) {
+net::Task<std::optional<decide::QuotaAnswer>> SidecarLink::requestQuota( decide::QuotaRequest ask,
+                                                                         Millis limit ) {
     return askAs<decide::QuotaAnswer>( std::move( ask ), limit );
 }
 
-net::Task<std::optional<decide::LimitAnswer>> SidecarLink::askLimit( decide::LimitAsk ask,
-                                                                     Millis limit ) {
+net::Task<std::optional<decide::LimitAnswer>>
+SidecarLink::requestLimitPermit( decide::LimitRequest ask, Millis limit ) {
     return askAs<decide::LimitAnswer>( std::move( ask ), limit );
 }
 
@@ -257,21 +257,21 @@
     if( load != nullptr && m_handlers.load ) {
         m_handlers.load( load->load );
     }
-    const auto* news = std::get_if<StoreNews>( &*message );
+    const auto* news = std::get_if<StoreUpdate>( &*message );
     if( news != nullptr && m_handlers.news ) {
         // What it tells may give this link other handlers while this one runs.
         const auto handler = m_handlers.news;
         handler( *news );
     }
-    const auto* quarantines = std::get_if<decide::QuarantineNews>( &*message );
+    const auto* quarantines = std::get_if<decide::QuarantineUpdate>( &*message );
     if( quarantines != nullptr && m_handlers.quarantines ) {
         m_handlers.quarantines( *quarantines );
     }
-    const auto* limits = std::get_if<decide::LimitNews>( &*message );
+    const auto* limits = std::get_if<decide::LimitUpdate>( &*message );
     if( limits != nullptr && m_handlers.limits ) {
         m_handlers.limits( *limits );
     }
-    const bool asksSpec = std::holds_alternative<SpecAsk>( *message );
+    const bool asksSpec = std::holds_alternative<SpecRequest>( *message );
     if( asksSpec && m_spec ) {
         transmit( "spec", m_spec->message );
     }
@@ -287,7 +287,7 @@
 }
 
 net::Task<> SidecarLink::serveConnection( net::Socket socket ) {
-    net::tune( socket, silence );
+    net::configureSocket( socket, silence );
     log::info( "sidecar_connected", { { "ip", m_ip } } );
     m_channel =
         std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::client );
@@ -301,7 +301,7 @@
         m_handlers.connected();
     }
     if( m_relayWanted ) {
-        askRelay( true );
+        requestRelay( true );
     }
     for( const auto& it : std::exchange( m_queued, {} ) ) {
         transmit( it );
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -33,9 +33,9 @@
         std::function<void()> connected;
         std::function<void( const SidecarReport& report )> report;
         std::function<void( const EngineLoad& load )> load;
-        std::function<void( const StoreNews& news )> news;
-        std::function<void( const decide::QuarantineNews& news )> quarantines;
-        std::function<void( const decide::LimitNews& news )> limits;
+        std::function<void( const StoreUpdate& news )> news;
+        std::function<void( const decide::QuarantineUpdate& news )> quarantines;
+        std::function<void( const decide::LimitUpdate& news )> limits;
     };
 
     SidecarLink( net::asio::io_context& context, std::string ip, int port );
@@ -51,33 +51,35 @@
     LinkState state() const noexcept { return m_state; }
     bool up() const noexcept { return m_state == LinkState::up; }
     //! True when the sidecar spoke lately: it can be asked.
-    bool answers( MonoTime now ) const;
+    bool isResponsive( MonoTime now ) const;
     //! The same, or nothing is known of it: a question opens the connection.
-    bool mayAnswer( MonoTime now ) const;
+    bool mayBeResponsive( MonoTime now ) const;
     //! True when nobody waits for an answer and none was asked for since `since`.
     bool unusedSince( MonoTime since ) const {
         return m_waiters.empty() && m_opening.empty() && !m_relayWanted && m_usedAt < since;
     }
     //! True when it is not known yet whether the sidecar can be reached.
-    bool untried( MonoTime now ) const;
+    bool reachabilityUnknown( MonoTime now ) const;
     //! Opens the connection and waits for the sidecar's first word; false after `limit`, or when it
     //! can't be reached.
-    net::Task<bool> opened( Millis limit );
+    net::Task<bool> waitUntilOpen( Millis limit );
 
     //! Tells the sidecar of its engine, now and after each reconnect; what that is built like only
     //! when it asks.
-    void setNews( EngineNews news, SpecTextPtr spec );
-    void send( const DemandNews& demand );
+    void announceEngine( EngineUpdate news, EncodedSpecPtr spec );
+    void send( const DemandUpdate& demand );
     //! Asks the sidecar to pass the store's changes on, or to cease to; asked again after each
     //! reconnect.
-    void askRelay( bool wanted );
+    void requestRelay( bool wanted );
     //! Asks, and waits for the answer; `failed` after the request's limit, or when the sidecar
     //! falls silent. The number of the question is kept in `number` for cancel().
     net::Task<EnsureAnswer> ensure( EnsureRequest request );
     //! Asks for units of an organisation's quota; nullopt when no answer came within `limit`.
-    net::Task<std::optional<decide::QuotaAnswer>> askQuota( decide::QuotaAsk ask, Millis limit );
+    net::Task<std::optional<decide::QuotaAnswer>> requestQuota( decide::QuotaRequest ask,
+                                                                Millis limit );
     //! Asks for leave to send to an upstream with a limit; likewise.
-    net::Task<std::optional<decide::LimitAnswer>> askLimit( decide::LimitAsk ask, Millis limit );
+    net::Task<std::optional<decide::LimitAnswer>> requestLimitPermit( decide::LimitRequest ask,
+                                                                      Millis limit );
     //! Opens the connection if need be; dropped when the sidecar can't be reached.
     void send( const Message& message );
     //! Tells the sidecar that a question, or the leave given in answer to it, has no use any more.
@@ -115,7 +117,7 @@
     Handlers m_handlers;
     LinkTraffic m_traffic;
     LinkState m_state = LinkState::closed;
-    std::set<net::Timer*> m_opening; //!< of calls of opened() that wait
+    std::set<net::Timer*> m_opening; //!< of calls of waitUntilOpen() that wait
     std::shared_ptr<net::FrameChannel> m_channel;
     bool m_heard = false;   //!< since the connection came up
     bool m_running = false; //!< keepConnected() has not ended
@@ -125,7 +127,7 @@
     MonoTime m_upAt;
     std::vector<Message> m_queued; //!< until the connection is up
     std::string m_news;            //!< encoded
-    SpecTextPtr m_spec;
+    EncodedSpecPtr m_spec;
     std::uint64_t m_nextNumber = 1;
     std::map<std::uint64_t, std::shared_ptr<Waiter>> m_waiters;
 };
--- a/src/gateway/spec_text.cpp
+++ b/src/gateway/spec_text.cpp
@@ -5,11 +5,11 @@
 
 namespace coursehead::gateway {
 
-SpecTextPtr encodeSpec( const EngineSpec& spec ) {
-    SpecNews news;
+EncodedSpecPtr encodeSpec( const EngineSpec& spec ) {
+    SpecAnswer news;
     news.engine = spec;
     news.key = hash64( encode( Message( news ) ) );
-    auto out = std::make_shared<SpecText>();
+    auto out = std::make_shared<EncodedSpec>();
     out->key = news.key;
     out->message = encode( Message( std::move( news ) ) );
     return out;
--- a/src/gateway/spec_text.hpp
+++ b/src/gateway/spec_text.hpp
@@ -10,13 +10,13 @@
 namespace coursehead::gateway {
 
 //! The description of a service's engines, encoded once for all that ask for it.
-struct SpecText {
+struct EncodedSpec {
     EngineSpecKey key = 0;
-    std::string message; //!< a SpecNews
+    std::string message; //!< a SpecAnswer
 };
-using SpecTextPtr = std::shared_ptr<const SpecText>;
+using EncodedSpecPtr = std::shared_ptr<const EncodedSpec>;
 
-SpecTextPtr encodeSpec( const EngineSpec& spec );
+EncodedSpecPtr encodeSpec( const EngineSpec& spec );
 
 } // namespace coursehead::gateway
 
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -17,17 +17,17 @@
 //! sent into one.
 constexpr Millis rewriteTime{ 10000 };
 
-FollowSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
-                               metrics::Metrics& metrics ) {
-    FollowSettings out;
+FollowerSettings followSettings( const platform::NodeSettings& settings, std::string_view kind,
+                                 metrics::Metrics& metrics ) {
+    FollowerSettings out;
     out.metrics = &metrics;
     out.kind = std::string( kind );
     out.wait = watchWait( settings.bounds );
     return out;
 }
 
-FollowSettings upstreamSettings( const platform::NodeSettings& settings,
-                                 metrics::Metrics& metrics ) {
+FollowerSettings upstreamSettings( const platform::NodeSettings& settings,
+                                   metrics::Metrics& metrics ) {
     auto out = followSettings( settings, platform::upstreamKind, metrics );
     out.pause = partOf( settings.bounds.drain, batchPart );
     return out;
@@ -37,7 +37,7 @@
 
 StoreFeed::StoreFeed( net::asio::io_context& context, const platform::NodeSettings& settings,
                       RandomSource& random, metrics::Metrics& metrics, Fleet& fleet,
-                      Registry& registry, FeedHandlers handlers )
+                      Registry& registry, StoreFeedHandlers handlers )
     : m_context( context ), m_settings( settings ), m_fleet( fleet ), m_registry( registry ),
       m_handlers( std::move( handlers ) ),
       m_configuration( context, settings.store,
@@ -54,14 +54,14 @@
       m_store( context, settings.store, &metrics ) {}
 
 void StoreFeed::start() {
-    m_fleet.onStoreNews( [this]( const std::string& upstreamId, const StoreNews& news ) {
+    m_fleet.onStoreUpdate( [this]( const std::string& upstreamId, const StoreUpdate& news ) {
         takeNews( upstreamId, news );
     } );
     net::start( m_context, begin(), "store feed" );
 }
 
-FollowHandlers StoreFeed::configurationHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::configurationHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
             takeObject( it );
@@ -83,8 +83,8 @@
     }
 }
 
-FollowHandlers StoreFeed::quarantineHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::quarantineHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         for( const auto& it : objects ) {
             takeQuarantine( it );
@@ -100,8 +100,8 @@
     return out;
 }
 
-FollowHandlers StoreFeed::evacuationHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::evacuationHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         std::set<std::string> halls;
         for( const auto& it : objects ) {
@@ -151,7 +151,7 @@
     takeEvacuations( m_emptied, now );
 }
 
-void StoreFeed::takeEvacuations( const StoreNews& news ) {
+void StoreFeed::takeEvacuations( const StoreUpdate& news ) {
     if( news.whole ) {
         takeEvacuations( { news.emptied.begin(), news.emptied.end() }, MonoClock::now() );
         return;
@@ -171,8 +171,8 @@
     }
 }
 
-FollowHandlers StoreFeed::upstreamHandlers() {
-    FollowHandlers out;
+FollowerHandlers StoreFeed::upstreamHandlers() {
+    FollowerHandlers out;
     out.listing = [this]( const std::vector<platform::StoreObject>& objects ) {
         std::vector<Upstream> upstreams;
         for( const auto& it : objects ) {
@@ -204,11 +204,11 @@
 
 void StoreFeed::takeListing( std::vector<Upstream> upstreams ) {
     m_listed = true;
-    m_registry.list( std::move( upstreams ), MonoClock::now() );
+    m_registry.applyListing( std::move( upstreams ), MonoClock::now() );
     m_handlers.upstreams();
 }
 
-void StoreFeed::takeNews( const std::string& upstreamId, const StoreNews& news ) {
+void StoreFeed::takeNews( const std::string& upstreamId, const StoreUpdate& news ) {
     if( upstreamId != m_relay ) {
         return;
     }
@@ -229,33 +229,33 @@
     // of its own.
     const auto until = MonoTime::max();
     if( news.part == StorePart::quarantines ) {
-        if( m_quarantines.relayed( news.position, news.whole, until ) ) {
+        if( m_quarantines.acceptRelayed( news.position, news.whole, until ) ) {
             m_handlers.quarantines( news.quarantines );
         }
         return;
     }
     if( news.part == StorePart::evacuations ) {
-        if( m_evacuations.relayed( news.position, news.whole, until ) ) {
+        if( m_evacuations.acceptRelayed( news.position, news.whole, until ) ) {
             takeEvacuations( news );
         }
         return;
     }
-    if( m_configuration.relayed( news.position, news.whole, until ) &&
+    if( m_configuration.acceptRelayed( news.position, news.whole, until ) &&
         !news.configuration.empty() ) {
         m_handlers.configuration( news.configuration );
     }
 }
 
-void StoreFeed::takeUpstreams( const StoreNews& news ) {
+void StoreFeed::takeUpstreams( const StoreUpdate& news ) {
     if( !news.whole && !m_gotWhole ) {
         return;
     }
     m_gotWhole = true;
     const auto now = MonoClock::now();
-    const auto until = now + relaySilence( m_settings.bounds );
+    const auto until = now + relaySilenceLimit( m_settings.bounds );
     // Changes that were dropped here, because this gateway knew them, are no gap: later ones build
     // on what it knows.
-    if( !m_upstreams.relayed( news.position, news.whole, until ) ) {
+    if( !m_upstreams.acceptRelayed( news.position, news.whole, until ) ) {
         return;
     }
     if( news.whole ) {
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -17,7 +17,7 @@
 namespace coursehead::gateway {
 
 //! What the feed keeps up to date.
-struct FeedHandlers {
+struct StoreFeedHandlers {
     //! A configuration, as the operator wrote it, at a revision of the store.
     std::function<void( std::string_view json )> configuration;
     //! The registry was listed or has changed.
@@ -39,7 +39,7 @@
 public:
     StoreFeed( net::asio::io_context& context, const platform::NodeSettings& settings,
                RandomSource& random, metrics::Metrics& metrics, Fleet& fleet, Registry& registry,
-               FeedHandlers handlers );
+               StoreFeedHandlers handlers );
 
     void start();
     //! Regular work: looks after the relay.
@@ -51,11 +51,11 @@
     }
 
 private:
-    FollowHandlers configurationHandlers();
-    FollowHandlers upstreamHandlers();
-    FollowHandlers quarantineHandlers();
-    FollowHandlers evacuationHandlers();
-    void takeEvacuations( const StoreNews& news );
+    FollowerHandlers configurationHandlers();
+    FollowerHandlers upstreamHandlers();
+    FollowerHandlers quarantineHandlers();
+    FollowerHandlers evacuationHandlers();
+    void takeEvacuations( const StoreUpdate& news );
     void takeEvacuations( std::set<std::string> halls, MonoTime now );
     void takeEvacuation( const std::string& hall, bool emptied );
     //! Halls that only the store's former history named: kept until they may be taken for no longer
@@ -64,8 +64,8 @@
     void takeQuarantine( const platform::StoreObject& object );
     void takeObject( const platform::StoreObject& object ) const;
     void takeListing( std::vector<Upstream> upstreams );
-    void takeNews( const std::string& upstreamId, const StoreNews& news );
-    void takeUpstreams( const StoreNews& news );
+    void takeNews( const std::string& upstreamId, const StoreUpdate& news );
+    void takeUpstreams( const StoreUpdate& news );
     //! Finds a relay before anything is known, and begins to follow the store.
     net::Task<> begin();
     //! Upstreams that may stand beside a relay, by a list that may be seconds old.
@@ -84,7 +84,7 @@
     const platform::NodeSettings& m_settings;
     Fleet& m_fleet;
     Registry& m_registry;
-    FeedHandlers m_handlers;
+    StoreFeedHandlers m_handlers;
     ObjectReader m_reader;
     Follower m_configuration;
     Follower m_upstreams;
--- a/src/gateway/store_feed_relay.cpp
+++ b/src/gateway/store_feed_relay.cpp
@@ -118,7 +118,7 @@
     const auto until = began + firstNews;
     auto link = std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.firstPort );
     SidecarLink::Handlers handlers;
-    handlers.news = [this, id = upstream.id]( const StoreNews& news ) {
+    handlers.news = [this, id = upstream.id]( const StoreUpdate& news ) {
         takeNews( id, news );
     };
     link->setHandlers( std::move( handlers ) );
@@ -140,7 +140,7 @@
 
 void StoreFeed::leaveRelay( std::string_view why, Millis patience, MonoTime now ) {
     log::info( "relay_lost", { { "upstream", m_relay }, { "why", why } } );
-    m_relayLink->askRelay( false );
+    m_relayLink->requestRelay( false );
     m_relayLink.reset();
     m_avoided[m_relay] = now + relayAvoided;
     m_relay.clear();
@@ -154,7 +154,7 @@
 void StoreFeed::useRelay( const std::string& upstreamId, std::shared_ptr<SidecarLink> link,
                           MonoTime now ) {
     if( m_relayLink ) {
-        m_relayLink->askRelay( false );
+        m_relayLink->requestRelay( false );
     }
     m_relay = upstreamId;
     m_relayLink = std::move( link );
@@ -162,7 +162,7 @@
     m_gotWhole = false;
     m_relayed.clear();
     log::info( "relay_chosen", { { "upstream", m_relay } } );
-    m_relayLink->askRelay( true );
+    m_relayLink->requestRelay( true );
     m_relayLink->open();
 }
 
@@ -172,7 +172,8 @@
     for( const auto& [id, node] : m_fleet.nodes() ) {
         if( node->sidecar ) {
             const auto avoided = m_avoided.find( id );
-            candidates.push_back( { id, node->sidecar->mayAnswer( now ) && node->takesRequests(),
+            candidates.push_back( { id,
+                                    node->sidecar->mayBeResponsive( now ) && node->takesRequests(),
                                     avoided != m_avoided.end() && avoided->second > now } );
             nodes.push_back( node );
         }
@@ -197,7 +198,7 @@
         const auto state = m_relayLink->state();
         if( state == LinkState::failing || state == LinkState::closed ) {
             leaveRelay( "connection lost", relayChange, now );
-        } else if( now - m_relayHeard > relaySilence( m_settings.bounds ) ) {
+        } else if( now - m_relayHeard > relaySilenceLimit( m_settings.bounds ) ) {
             leaveRelay( "silent", Millis{ 0 }, now );
         }
     }
--- a/src/gateway/store_grants.hpp
+++ b/src/gateway/store_grants.hpp
@@ -12,7 +12,7 @@
 //! A load from the weight store begins this long after it was allowed at the latest, or not at all:
 //! one that waited for its engine began in another window than it was counted in, and twelve loads
 //! began where eleven may.
-inline constexpr Millis storeGrantLife{ 1000 };
+inline constexpr Millis storeGrantLifetime{ 1000 };
 
 //! Loads from the weight store that one gateway allowed within a window of time.
 class StoreGrants {
--- a/src/net/frame_channel.hpp
+++ b/src/net/frame_channel.hpp
@@ -38,7 +38,7 @@
     void close();
     bool open() const { return m_socket.is_open(); }
     //! When bytes were last received.
-    MonoTime lastHeard() const noexcept { return m_lastHeard; }
+    MonoTime lastReceivedAt() const noexcept { return m_lastHeard; }
 
 private:
     void startSession();
--- a/src/net/json_client.cpp
+++ b/src/net/json_client.cpp
@@ -54,18 +54,18 @@
     if( ec ) {
         co_return false;
     }
-    tune( *socket, connectLimit );
+    configureSocket( *socket, connectLimit );
     m_socket = std::move( socket );
     co_return true;
 }
 
-Task<JsonAnswer> JsonClient::callOnce( const JsonCall& call, MonoTime deadline ) {
-    JsonAnswer out;
+Task<JsonResponse> JsonClient::callOnce( const JsonCall& call, MonoTime deadline ) {
+    JsonResponse out;
     const bool connected = co_await ensureConnected( deadline );
     if( !connected ) {
         co_return out;
     }
-    out.end = CallEnd::unknown;
+    out.end = CallOutcome::unknown;
     const auto request = makeRequest( call, m_ip );
     http::response_parser<http::string_body> parser;
     parser.body_limit( maxAnswerBytes );
@@ -82,11 +82,11 @@
         drop();
         co_return out;
     }
-    out.end = CallEnd::answered;
+    out.end = CallOutcome::answered;
     out.status = parser.get().result_int();
     out.body = std::move( parser.get().body() );
-    if( !call.wantedField.empty() ) {
-        out.wantedField = std::string( parser.get()[call.wantedField] );
+    if( !call.responseHeader.empty() ) {
+        out.responseHeader = std::string( parser.get()[call.responseHeader] );
     }
     if( !parser.keep_alive() || m_buf.size() > 0 || !m_socket->is_open() ) {
         drop();
@@ -94,12 +94,12 @@
     co_return out;
 }
 
-Task<JsonAnswer> JsonClient::call( const JsonCall& call ) {
+Task<JsonResponse> JsonClient::call( const JsonCall& call ) {
     const auto deadline = MonoClock::now() + call.limit;
     const bool kept = m_socket != nullptr;
     auto out = co_await callOnce( call, deadline );
-    const bool again =
-        kept && out.end == CallEnd::unknown && call.method == "GET" && MonoClock::now() < deadline;
+    const bool again = kept && out.end == CallOutcome::unknown && call.method == "GET" &&
+                       MonoClock::now() < deadline;
     if( again ) {
         out = co_await callOnce( call, deadline );
     }
--- a/src/net/json_client.hpp
+++ b/src/net/json_client.hpp
@@ -20,21 +20,21 @@
     std::string target;
     std::string body;
     std::vector<std::pair<std::string, std::string>> headers;
-    Millis limit{ 1000 };    //!< for the whole call
-    std::string wantedField; //!< name of a response header to return; empty: none
+    Millis limit{ 1000 };       //!< for the whole call
+    std::string responseHeader; //!< name of a response header to return; empty: none
 };
 
-enum class CallEnd {
+enum class CallOutcome {
     answered, //!< `status` and `body` hold the response
     notSent,  //!< no connection: the call had no effect
     unknown,  //!< connection lost or timed out: the call may have taken effect
 };
 
-struct JsonAnswer {
-    CallEnd end = CallEnd::notSent;
+struct JsonResponse {
+    CallOutcome end = CallOutcome::notSent;
     unsigned status = 0;
     std::string body;
-    std::string wantedField; //!< value of the header that the call named
+    std::string responseHeader; //!< value of the header that the call named
 };
 
 //! Client of one HTTP server; makes one call at a time, on a persistent connection.
@@ -43,10 +43,10 @@
     JsonClient( asio::io_context& context, std::string ip, int port );
 
     //! Makes a call. A GET that fails on a reused connection is sent once more within its limit.
-    Task<JsonAnswer> call( const JsonCall& call );
+    Task<JsonResponse> call( const JsonCall& call );
 
 private:
-    Task<JsonAnswer> callOnce( const JsonCall& call, MonoTime deadline );
+    Task<JsonResponse> callOnce( const JsonCall& call, MonoTime deadline );
     Task<bool> ensureConnected( MonoTime deadline );
     void drop();
 
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void tune( Socket& socket, Millis silence ) {
+void configureSocket( Socket& socket, Millis silence ) {
     ErrorCode ec;
     socket.set_option( tcp::no_delay( true ), ec );
     const auto ms = static_cast<unsigned>( silence.count() );
@@ -42,7 +42,7 @@
     return { address, static_cast<unsigned short>( port ) };
 }
 
-SocketDeadline::SocketDeadline( Socket& socket, MonoTime at, WhenDue action )
+SocketDeadline::SocketDeadline( Socket& socket, MonoTime at, DeadlineAction action )
     : m_timer( socket.get_executor() ), m_state( std::make_shared<State>( State::waiting ) ) {
     m_timer.expires_at( at );
     m_timer.async_wait( [&socket, action, state = m_state]( ErrorCode ec ) {
@@ -50,7 +50,7 @@
             return;
         }
         *state = State::expired;
-        if( action == WhenDue::close ) {
+        if( action == DeadlineAction::close ) {
             socket.close( ec );
         } else {
             socket.cancel( ec );
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -36,7 +36,7 @@
                                          asio::io_context::executor_type>;
 
 //! Disables Nagle's algorithm, and drops a peer that has not acknowledged sent bytes for `silence`.
-void tune( Socket& socket, Millis silence );
+void configureSocket( Socket& socket, Millis silence );
 //! Makes close() reset the connection from now on. Bytes that have not reached the peer are
 //! discarded, and the peer learns that an answer to those it has read is no longer wanted.
 void resetOnClose( Socket& socket );
@@ -45,7 +45,7 @@
 tcp::endpoint endpointOf( const std::string& ip, int port, ErrorCode& ec );
 
 //! What a SocketDeadline does when it expires.
-enum class WhenDue {
+enum class DeadlineAction {
     close,  //!< closes the socket
     cancel, //!< cancels pending operations; the socket stays open
 };
@@ -54,7 +54,7 @@
 //! before. The socket must outlive it.
 class SocketDeadline {
 public:
-    SocketDeadline( Socket& socket, MonoTime at, WhenDue action = WhenDue::close );
+    SocketDeadline( Socket& socket, MonoTime at, DeadlineAction action = DeadlineAction::close );
     ~SocketDeadline() { cancel(); }
     SocketDeadline( const SocketDeadline& ) = delete;
     SocketDeadline& operator=( const SocketDeadline& ) = delete;
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -116,7 +116,7 @@
     out.name = in.at( "name" ).get<std::string>();
     out.connectionLimit = in.value( "connectionLimit", 0 );
     const auto path = "services." + out.name + ".";
-    out.coldTime =
+    out.coldDuration =
         Millis( static_cast<std::int64_t>( readAmount( in, "coldS", path ) * millisPerSecond ) );
     out.coldPerS = readAmount( in, "coldPerS", path );
     if( in.contains( "engine" ) && in["engine"].is_object() ) {
@@ -161,7 +161,7 @@
     limit.perS = readAmount( in, "perS", path );
     limit.burst = readAmount( in, "burst", path );
     limit.unit = readUnit( in, path );
-    limit.plainTokens = static_cast<std::int64_t>( readAmount( in, "plainTokens", path ) );
+    limit.defaultTokens = static_cast<std::int64_t>( readAmount( in, "plainTokens", path ) );
     out.homeRegions = readHomes( in, path );
     return out;
 }
--- a/src/platform/headers.cpp
+++ b/src/platform/headers.cpp
@@ -46,7 +46,7 @@
 constexpr std::string_view limitName = "Server-Limit";
 constexpr std::string_view leavingName = "Server-Leaving";
 constexpr std::string_view leavingValue = "1";
-constexpr unsigned statusTooMany = 429;
+constexpr unsigned statusTooManyRequests = 429;
 constexpr unsigned statusUnavailable = 503;
 
 std::string_view field( const http::fields& fields, std::string_view name ) {
@@ -93,7 +93,7 @@
     }
     const auto counts = readTokenCounts( fields );
     out.promptTokens = counts.prompt;
-    out.mostTokens = counts.most;
+    out.maxTokens = counts.most;
     constexpr int hex = 16;
     auto rest = field( fields, partsName );
     while( !rest.empty() ) {
@@ -117,7 +117,7 @@
     if( !seconds || !std::isfinite( *seconds ) || *seconds < 0 ) {
         return std::nullopt;
     }
-    const auto longest = static_cast<double>( decide::longestBackoff.count() );
+    const auto longest = static_cast<double>( decide::maxBackoff.count() );
     const auto ms = std::min( std::ceil( *seconds * millisPerSecond ), longest );
     return Millis( static_cast<std::int64_t>( ms ) );
 }
@@ -153,7 +153,7 @@
         out.badField = badField( coldName, text );
         return;
     }
-    out.announcement.cold = std::min( Millis( *ms ), decide::longestCold );
+    out.announcement.cold = std::min( Millis( *ms ), decide::maxColdTime );
 }
 
 //! The limit that an answer names; the lowest of several.
@@ -166,13 +166,13 @@
         const bool usable = perS && std::isfinite( *perS ) && *perS >= 0;
         if( !usable ) {
             out.badField = badField( limitName, text );
-            const bool named = said.limit == decide::LimitSaid::named;
-            said.limit = named ? said.limit : decide::LimitSaid::unreadable;
+            const bool named = said.limit == decide::LimitAnnouncement::named;
+            said.limit = named ? said.limit : decide::LimitAnnouncement::unreadable;
             continue;
         }
-        const bool first = said.limit != decide::LimitSaid::named;
+        const bool first = said.limit != decide::LimitAnnouncement::named;
         said.limitPerS = first ? *perS : std::min( said.limitPerS, *perS );
-        said.limit = decide::LimitSaid::named;
+        said.limit = decide::LimitAnnouncement::named;
     }
 }
 
@@ -266,8 +266,9 @@
         out.answerClass = AnswerClass::notRun;
     }
     // A 429 of an answer that was run is about its client, not about the upstream.
-    const bool turnedAway = status == statusUnavailable ||
-                            ( status == statusTooMany && out.answerClass == AnswerClass::notRun );
+    const bool turnedAway =
+        status == statusUnavailable ||
+        ( status == statusTooManyRequests && out.answerClass == AnswerClass::notRun );
     if( turnedAway ) {
         readBackoff( fields, out );
     }
--- a/src/platform/store_client.cpp
+++ b/src/platform/store_client.cpp
@@ -14,8 +14,8 @@
 constexpr unsigned statusConflict = 409;
 constexpr unsigned statusGone = 410;
 
-StoreStatus statusOf( const net::JsonAnswer& answer ) {
-    if( answer.end != net::CallEnd::answered ) {
+StoreStatus statusOf( const net::JsonResponse& answer ) {
+    if( answer.end != net::CallOutcome::answered ) {
         return StoreStatus::unreachable;
     }
     if( answer.status == statusGone ) {
@@ -36,20 +36,20 @@
     }
 }
 
-net::Task<net::JsonAnswer> StoreClient::call( net::JsonCall call ) {
-    call.wantedField = std::string( eraHeader );
+net::Task<net::JsonResponse> StoreClient::call( net::JsonCall call ) {
+    call.responseHeader = std::string( eraHeader );
     ++m_calls;
     co_return co_await m_http.call( call );
 }
 
-bool StoreClient::takeEra( const net::JsonAnswer& answer ) {
-    if( answer.wantedField.empty() ) {
+bool StoreClient::takeEra( const net::JsonResponse& answer ) {
+    if( answer.responseHeader.empty() ) {
         return true;
     }
-    const auto era = readEra( answer.wantedField );
+    const auto era = readEra( answer.responseHeader );
     if( !era ) {
         log::warn( "store_era_unreadable",
-                   { { "field", eraHeader }, { "value", answer.wantedField } } );
+                   { { "field", eraHeader }, { "value", answer.responseHeader } } );
         return true;
     }
     if( *era < m_era ) {
@@ -145,7 +145,7 @@
     making.body = std::move( body );
     making.limit = limit;
     const auto answer = co_await call( std::move( making ) );
-    const bool made = answer.end == net::CallEnd::answered &&
+    const bool made = answer.end == net::CallOutcome::answered &&
                       ( answer.status == statusCreated || answer.status == statusConflict );
     co_return made ? StoreStatus::ok : statusOf( answer );
 }
--- a/src/platform/store_client.hpp
+++ b/src/platform/store_client.hpp
@@ -57,11 +57,11 @@
     net::Task<StoreStatus> remove( std::string_view kind, std::string_view name, Millis limit );
 
 private:
-    net::Task<net::JsonAnswer> call( net::JsonCall call );
+    net::Task<net::JsonResponse> call( net::JsonCall call );
     net::Task<ListResult> listPages( std::string_view kind, Millis limit, ListAge age,
                                      std::size_t most );
     //! Takes note of an answer's era; false when the answer is of a former one.
-    bool takeEra( const net::JsonAnswer& answer );
+    bool takeEra( const net::JsonResponse& answer );
 
     void count( std::string_view what, std::string_view kind ) const;
 
--- a/src/platform/store_wire.cpp
+++ b/src/platform/store_wire.cpp
@@ -160,11 +160,11 @@
     try {
         const auto in = Json::parse( object.spec );
         const auto text = in.at( "fingerprint" ).get<std::string>();
-        const auto fingerprint = decide::readFingerprint( text );
+        const auto fingerprint = decide::parseFingerprint( text );
         const auto until = in.at( "untilMs" ).get<WallMillis>();
         decide::Quarantine out;
         out.times = in.at( "times" ).get<int>();
-        const auto longest = decide::holdOf( out.times ).count();
+        const auto longest = decide::quarantineDuration( out.times ).count();
         if( !fingerprint || out.times < 1 ) {
             problem = "fingerprint or times out of range: " + text;
             return std::nullopt;
--- a/src/platform/wire.cpp
+++ b/src/platform/wire.cpp
@@ -76,22 +76,22 @@
 }
 
 //! Always a whole number, where it is told.
-gateway::Born bornOf( const Json& in ) {
+gateway::StartTime bornOf( const Json& in ) {
     const auto it = in.find( "born" );
-    return it == in.end() ? gateway::Born{ 0 } : it->get<gateway::Born>();
+    return it == in.end() ? gateway::StartTime{ 0 } : it->get<gateway::StartTime>();
 }
 
 EngineReport reportOf( const Json& in ) {
     EngineReport out;
     out.born = bornOf( in );
     out.residents = readResidents( in.value( "models", Json::array() ) );
-    out.coming = readComing( in.value( "coming", Json::array() ) );
+    out.loadingAdapters = readComing( in.value( "coming", Json::array() ) );
     const auto available = in.value( "available", Json::object() );
     if( available.is_object() ) {
         out.onDisk = readNames( available.value( "onDisk", Json::array() ) );
         out.inMemory = readNames( available.value( "inMemory", Json::array() ) );
     }
-    out.ordering = in.value( "busySlots", false ); // says that an order is under way
+    out.orderInProgress = in.value( "busySlots", false ); // says that an order is under way
     out.sequence = in.value( "sequence", std::uint64_t{ 0 } );
     out.queued = in.value( "queuedRequests", std::uint32_t{ 0 } );
     out.running = in.value( "activeRequests", std::uint32_t{ 0 } );
--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-Admission::Admission( net::asio::io_context& context, Host host )
+Admission::Admission( net::asio::io_context& context, Callbacks host )
     : m_host( std::move( host ) ), m_timer( context ) {}
 
 void Admission::setEngine( std::int64_t cacheTokens, Millis gapTarget ) {
@@ -32,7 +32,7 @@
 //! Limits prompt reading to a part of the engine's time, so that streams meet their gap target.
 //! Lifts the limit while streams meet it without.
 void Admission::limitReading() {
-    const auto pause = m_eventPace.whileReading();
+    const auto pause = m_eventPace.pauseWhileReading();
     const auto longest = m_gapTarget * ( m_readsFreely ? limitPart : freePart );
     const bool inTime = pause && *pause <= longest;
     if( inTime != m_readsFreely ) {
@@ -44,58 +44,58 @@
     m_gate.setEngine( m_cacheTokens, inTime ? Millis{ 0 } : m_gapTarget );
 }
 
-void Admission::admit( Question question ) {
-    if( question.prompt.tokens == 0 ) {
-        m_host.answer( question, EnsureOutcome::ready, Millis{ 0 }, 0 );
+void Admission::admit( PendingEnsure ensure ) {
+    if( ensure.prompt.tokens == 0 ) {
+        m_host.answer( ensure, EnsureOutcome::ready, Millis{ 0 }, 0 );
         return;
     }
     const auto now = MonoClock::now();
     const auto cold = m_cold.wait( m_coldPerS, now );
     if( cold.count() > 0 ) {
-        m_host.answer( question, EnsureOutcome::later, cold, 0 );
+        m_host.answer( ensure, EnsureOutcome::tooLate, cold, 0 );
         return;
     }
-    const PromptAsk ask{ question.key,    question.want.model, question.want.adapter,
-                         question.prompt, question.since,      question.limit };
+    const PromptRequest ask{ ensure.key,    ensure.required.model, ensure.required.adapter,
+                             ensure.prompt, ensure.since,          ensure.limit };
     const auto verdict = m_gate.ask( ask, now );
     if( !verdict.accepted ) {
-        m_host.answer( question, EnsureOutcome::later, verdict.wait, 0 );
+        m_host.answer( ensure, EnsureOutcome::tooLate, verdict.wait, 0 );
         return;
     }
-    m_waiting.emplace( question.key, std::move( question ) );
+    m_waiting.emplace( ensure.key, std::move( ensure ) );
     letThrough();
 }
 
 //! Admits the prompts that are due, and sets the timer for the next one.
 void Admission::letThrough() {
     const auto now = MonoClock::now();
-    for( const auto& leave : m_gate.takeDue( now ) ) {
+    for( const auto& leave : m_gate.takeAdmitted( now ) ) {
         auto node = m_waiting.extract( leave.key );
         if( node.empty() ) {
             continue;
         }
-        auto& question = node.mapped();
-        if( !m_host.isThere( question.want ) ) {
+        auto& ensure = node.mapped();
+        if( !m_host.isResident( ensure.required ) ) {
             m_gate.withdraw( leave.key, now );
-            m_host.missing( std::move( question ) );
+            m_host.notResident( std::move( ensure ) );
             continue;
         }
         const auto cold = m_cold.wait( m_coldPerS, now );
         if( cold.count() > 0 ) {
             m_gate.withdraw( leave.key, now );
-            m_host.answer( question, EnsureOutcome::later, cold, 0 );
+            m_host.answer( ensure, EnsureOutcome::tooLate, cold, 0 );
             continue;
         }
         if( m_cold.isCold( now ) ) {
             m_cold.take( now );
         }
-        m_host.given( question );
-        m_host.answer( question, EnsureOutcome::ready, m_gate.usualWait( now ), leave.workMs );
+        m_host.admitted( ensure );
+        m_host.answer( ensure, EnsureOutcome::ready, m_gate.usualWait( now ), leave.workMs );
     }
-    for( const auto key : m_gate.takeLate( now ) ) {
+    for( const auto key : m_gate.takeExpired( now ) ) {
         const auto node = m_waiting.extract( key );
         if( !node.empty() ) {
-            m_host.answer( node.mapped(), EnsureOutcome::later, m_gate.usualWait( now ), 0 );
+            m_host.answer( node.mapped(), EnsureOutcome::tooLate, m_gate.usualWait( now ), 0 );
         }
     }
     const auto next = m_gate.nextAt( now );
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -20,16 +20,17 @@
 class Admission {
 public:
     //! Functions that the sidecar provides.
-    struct Host {
-        std::function<bool( const Want& want )> isThere;
-        std::function<void( const Question& question, gateway::EnsureOutcome outcome, Millis wait,
-                            double workMs )>
+    struct Callbacks {
+        std::function<bool( const RequiredModel& required )> isResident;
+        std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome,
+                            Millis wait, double workMs )>
             answer;
-        std::function<void( Question question )> missing; //!< its model or adapter was unloaded
-        std::function<void( const Question& question )> given; //!< its prompt is admitted now
+        std::function<void( PendingEnsure ensure )>
+            notResident; //!< its model or adapter was unloaded
+        std::function<void( const PendingEnsure& ensure )> admitted; //!< its prompt is admitted now
     };
 
-    Admission( net::asio::io_context& context, Host host );
+    Admission( net::asio::io_context& context, Callbacks host );
 
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! Takes from a gateway how long the engine stays cold, and how many prompts a second it may be
@@ -39,7 +40,7 @@
         m_coldPerS = perS;
     }
     //! Queues the prompt of an ensure request, or answers the request at once.
-    void admit( Question question );
+    void admit( PendingEnsure ensure );
     //! Updates the estimates from the prompts and streams in the engine's report.
     void takeReport( const gateway::EngineReport& report, MonoTime now );
     //! A gateway has cancelled its ensure request, or does not use the permit that it was given.
@@ -59,11 +60,11 @@
     void letThrough();
     void limitReading();
 
-    Host m_host;
+    Callbacks m_host;
     net::Timer m_timer;
     PromptGate m_gate;
     decide::EventPace m_eventPace;
-    std::map<std::uint64_t, Question> m_waiting; //!< by key
+    std::map<std::uint64_t, PendingEnsure> m_waiting; //!< by key
     decide::ColdGate m_cold;
     double m_coldPerS = 0; //!< prompts a second while the engine is cold; 0: no limit
     std::int64_t m_cacheTokens = 0;
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -19,7 +19,7 @@
     call.target = std::string( platform::reportPath );
     call.limit = reportLimit;
     const auto answer = co_await m_http.call( call );
-    if( answer.end != net::CallEnd::answered || answer.status != statusOk ) {
+    if( answer.end != net::CallOutcome::answered || answer.status != statusOk ) {
         co_return std::nullopt;
     }
     co_return platform::readEngineReport( answer.body );
@@ -32,18 +32,18 @@
     call.body = platform::encodeOrder( order );
     call.headers.emplace_back( std::string( platform::expectedUpstreamHeader() ), upstreamId );
     call.limit = orderLimit;
-    call.wantedField = std::string( platform::actualUpstreamHeader() );
+    call.responseHeader = std::string( platform::actualUpstreamHeader() );
     const auto answer = co_await m_http.call( call );
     Given out;
     switch( answer.end ) {
-    case net::CallEnd::answered:
+    case net::CallOutcome::answered:
         out.verdict = platform::orderVerdict( answer.status );
-        out.actualUpstream = answer.wantedField;
+        out.actualUpstream = answer.responseHeader;
         break;
-    case net::CallEnd::notSent:
+    case net::CallOutcome::notSent:
         out.verdict = platform::OrderVerdict::refused;
         break;
-    case net::CallEnd::unknown:
+    case net::CallOutcome::unknown:
         break;
     }
     co_return out;
--- a/src/sidecar/engine_view.cpp
+++ b/src/sidecar/engine_view.cpp
@@ -29,7 +29,7 @@
 
 EngineView::News EngineView::take( gateway::EngineReport report, MonoTime now ) {
     News out;
-    out.restarted = gateway::isFormer( m_report.born, report.born );
+    out.restarted = gateway::isOlderStart( m_report.born, report.born );
     if( out.restarted ) {
         forgetStart();
     }
@@ -54,7 +54,7 @@
     }
     m_reported = true;
     m_report = std::move( report );
-    settleUnloads( m_unloads, m_report, now );
+    removeFinishedUnloads( m_unloads, m_report, now );
     return out;
 }
 
@@ -76,8 +76,8 @@
     return static_cast<double>( m_peers.size() ) >= most * gateways;
 }
 
-Use EngineView::useOf( const std::string& model, MonoTime now ) const {
-    Use out;
+Usage EngineView::useOf( const std::string& model, MonoTime now ) const {
+    Usage out;
     for( const auto& peer : m_peers ) {
         const auto found = peer->demand.find( model );
         if( found != peer->demand.end() ) {
@@ -110,8 +110,8 @@
     return known ? std::max( out, own->second.perS( now ) * copies ) : out;
 }
 
-Holdings EngineView::holdings( MonoTime now ) const {
-    Holdings out;
+ResidencyState EngineView::holdings( MonoTime now ) const {
+    ResidencyState out;
     out.engine = &*m_spec;
     out.report = &m_report;
     for( const auto& it : m_report.residents ) {
@@ -131,17 +131,17 @@
     return out;
 }
 
-bool EngineView::isThere( const Want& want, MonoTime now ) const {
-    return nextStep( holdings( now ), want, now ).kind == StepKind::ready;
+bool EngineView::isResident( const RequiredModel& required, MonoTime now ) const {
+    return nextStep( holdings( now ), required, now ).kind == StepKind::ready;
 }
 
 bool EngineView::hasWeights( std::string_view model ) const {
     return contains( m_report.inMemory, model ) || contains( m_report.onDisk, model );
 }
 
-void EngineView::noteUse( const Want& want, MonoTime now ) {
-    if( !want.adapter.empty() ) {
-        m_adapterUses[adapterKey( want.model, want.adapter )].lastUsed = now;
+void EngineView::noteUse( const RequiredModel& required, MonoTime now ) {
+    if( !required.adapter.empty() ) {
+        m_adapterUses[adapterKey( required.model, required.adapter )].lastUsed = now;
     }
 }
 
@@ -150,7 +150,7 @@
     m_letInWork.try_emplace( model, workMemory ).first->second.note( workMs, now );
 }
 
-void EngineView::noteDemand( const gateway::DemandNews& news, MonoTime now ) {
+void EngineView::noteDemand( const gateway::DemandUpdate& news, MonoTime now ) {
     for( const auto& it : news.models ) {
         for( const auto& adapter : it.adaptersUsed ) {
             m_adapterUses[adapterKey( it.model, adapter )].lastUsed = now;
@@ -172,8 +172,8 @@
     return true;
 }
 
-std::vector<gateway::Resident> EngineView::offered() const {
-    return sidecar::offered( m_report.residents, m_unloads, m_retiring );
+std::vector<gateway::Resident> EngineView::availableResidents() const {
+    return sidecar::availableResidents( m_report.residents, m_unloads, m_retiring );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/engine_view.hpp
+++ b/src/sidecar/engine_view.hpp
@@ -2,7 +2,7 @@
 #ifndef COURSEHEAD_SIDECAR_ENGINE_VIEW_HPP_INCLUDED
 #define COURSEHEAD_SIDECAR_ENGINE_VIEW_HPP_INCLUDED
 
-#include "decide/recall.hpp"
+#include "decide/model_restore.hpp"
 #include "decide/smoothed_rate.hpp"
 #include "sidecar/question.hpp"
 #include "sidecar/residency.hpp"
@@ -31,7 +31,7 @@
         bool startedEmpty = false;        //!< this is the first report, and no model is resident
         bool restarted = false; //!< the engine has restarted, under the same id or another
         //! Models that the engine held before it restarted empty.
-        std::vector<decide::FormerModel> lost;
+        std::vector<decide::PreviousModel> lost;
     };
     News take( gateway::EngineReport report, MonoTime now );
     const gateway::EngineReport& report() const noexcept { return m_report; }
@@ -39,24 +39,24 @@
     //! Use of a model by all gateways: the sum of the fleet-wide demand that the connected gateways
     //! report. While only some gateways are connected, it is at least the rate admitted here times
     //! the number of the model's copies.
-    Use useOf( const std::string& model, MonoTime now ) const;
+    Usage useOf( const std::string& model, MonoTime now ) const;
     //! Prompt reading that all gateways demand of a model, in milliseconds a second.
     double workPerS( const std::string& model, MonoTime now ) const;
     //! Input for the choice of the next order. spec() must be set.
-    Holdings holdings( MonoTime now ) const;
-    bool isThere( const Want& want, MonoTime now ) const;
+    ResidencyState holdings( MonoTime now ) const;
+    bool isResident( const RequiredModel& required, MonoTime now ) const;
     bool hasWeights( std::string_view model ) const;
 
-    void noteUse( const Want& want, MonoTime now );
+    void noteUse( const RequiredModel& required, MonoTime now );
     //! Counts a request that is admitted for a model, and the reading time of its prompt.
     void noteLetIn( const std::string& model, double workMs, MonoTime now );
-    void noteDemand( const gateway::DemandNews& news, MonoTime now );
+    void noteDemand( const gateway::DemandUpdate& news, MonoTime now );
     //! Records an unload order that the engine may carry out.
     void noteUnload( const Step& step, MonoTime now );
     //! Sets the model that gateways are no longer offered; empty: none. True when it has changed.
     bool setRetiring( const std::string& model, MonoTime now );
     //! Models and adapters that requests may still be sent for.
-    std::vector<gateway::Resident> offered() const;
+    std::vector<gateway::Resident> availableResidents() const;
 
 private:
     //! True when most of the running gateways are connected to this sidecar.
@@ -68,12 +68,12 @@
     std::optional<gateway::EngineSpec> m_spec;
     gateway::EngineReport m_report;
     bool m_reported = false; //!< the engine has reported once
-    std::vector<decide::FormerModel> m_lastHeld;
+    std::vector<decide::PreviousModel> m_lastHeld;
     std::map<std::string, MonoTime> m_loadedAt;
     std::map<std::string, decide::SmoothedRate> m_letIn;     //!< admitted requests, by model
     std::map<std::string, decide::SmoothedRate> m_letInWork; //!< reading in ms, by model
-    std::map<std::string, Use, std::less<>> m_adapterUses;
-    std::vector<Unloading> m_unloads; //!< ordered and not yet known to be complete
+    std::map<std::string, Usage, std::less<>> m_adapterUses;
+    std::vector<PendingUnload> m_unloads; //!< ordered and not yet known to be complete
     std::string m_retiring; //!< model to be unloaded once its requests have ended; or empty
     MonoTime m_retiringSince;
 };
--- a/src/sidecar/orders.cpp
+++ b/src/sidecar/orders.cpp
@@ -35,14 +35,14 @@
     switch( step ) {
     case StepKind::ready:
         return EnsureOutcome::ready;
-    case StepKind::needStore:
-        return EnsureOutcome::needStore;
+    case StepKind::needsWeightStore:
+        return EnsureOutcome::needsWeightStore;
     case StepKind::unknown:
         return EnsureOutcome::failed;
-    case StepKind::leaving:
-        return EnsureOutcome::noRoom;
-    case StepKind::noRoom:
-        return waited > roomLimit ? std::optional( EnsureOutcome::noRoom ) : std::nullopt;
+    case StepKind::unloading:
+        return EnsureOutcome::noCapacity;
+    case StepKind::noCapacity:
+        return waited > roomLimit ? std::optional( EnsureOutcome::noCapacity ) : std::nullopt;
     case StepKind::wait:
     case StepKind::load:
     case StepKind::unload:
@@ -52,23 +52,23 @@
     return waited > limit ? std::optional( EnsureOutcome::failed ) : std::nullopt;
 }
 
-Millis limitOf( const Question& question, const Holdings& held ) {
-    const bool adapterOnly = held.models.contains( question.want.model );
-    return adapterOnly ? std::min( question.limit, adapterLimit ) : question.limit;
+Millis limitOf( const PendingEnsure& ensure, const ResidencyState& held ) {
+    const bool adapterOnly = held.models.contains( ensure.required.model );
+    return adapterOnly ? std::min( ensure.limit, adapterLimit ) : ensure.limit;
 }
 
 } // namespace
 
 Orders::Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
                 EngineClient& engine, EngineView& view, RandomSource& random,
-                metrics::Metrics& metrics, Host host )
+                metrics::Metrics& metrics, Callbacks host )
     : m_context( context ), m_settings( settings ), m_engine( engine ), m_view( view ),
       m_random( random ), m_metrics( metrics ), m_host( std::move( host ) ) {}
 
 void Orders::start() {
     if( m_settings.firstStart ) {
         // No earlier start of this sidecar has sent orders, so there is no token to exceed.
-        m_fence = decide::firstFence;
+        m_fence = decide::firstFencingToken;
         log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fence ) } } );
         return;
     }
@@ -90,9 +90,9 @@
     }
 }
 
-void Orders::add( Question question ) {
-    question.loaded = true;
-    m_wants.push_back( std::move( question ) );
+void Orders::add( PendingEnsure ensure ) {
+    ensure.loaded = true;
+    m_wants.push_back( std::move( ensure ) );
 }
 
 void Orders::forget( std::uint64_t key ) {
@@ -101,11 +101,11 @@
 
 void Orders::forgetPeer( const Peer& peer ) {
     m_wants.remove_if(
-        [&peer]( const Question& it ) { return it.key == keyOf( peer, it.number ); } );
+        [&peer]( const PendingEnsure& it ) { return it.key == keyOf( peer, it.number ); } );
 }
 
-void Orders::fail( const std::function<bool( const Question& question )>& which ) {
-    m_wants.remove_if( [&]( const Question& it ) {
+void Orders::fail( const std::function<bool( const PendingEnsure& ensure )>& which ) {
+    m_wants.remove_if( [&]( const PendingEnsure& it ) {
         const bool fails = which( it );
         if( fails ) {
             m_host.answer( it, EnsureOutcome::failed );
@@ -116,10 +116,10 @@
 
 void Orders::dropOld() {
     const auto now = MonoClock::now();
-    fail( [now]( const Question& it ) { return now - it.since > roomLimit; } );
+    fail( [now]( const PendingEnsure& it ) { return now - it.since > roomLimit; } );
 }
 
-void Orders::recall( std::vector<decide::FormerModel> lost ) {
+void Orders::modelRestore( std::vector<decide::PreviousModel> lost ) {
     m_recall = { std::move( lost ), false };
     log::info( "recall", { { "models", static_cast<std::int64_t>( m_recall.models.size() ) },
                            { "from", "memory" } } );
@@ -153,7 +153,7 @@
             }
         }
     }
-    m_recall.everywhere = true;
+    m_recall.allEngines = true;
     for( const auto& it : mine ) {
         m_recall.models.push_back( { it, copies[it] } );
     }
@@ -162,11 +162,11 @@
 }
 
 //! Next load of a model that the engine held before it restarted; only into free capacity.
-std::optional<Step> Orders::recallStep( const Holdings& held, MonoTime now ) {
-    const auto isNear = [this]( std::string_view model ) {
+std::optional<Step> Orders::recallStep( const ResidencyState& held, MonoTime now ) {
+    const auto isLocal = [this]( std::string_view model ) {
         return m_view.hasWeights( model );
     };
-    while( const auto model = decide::takeNext( m_recall, isNear, m_random.unit() ) ) {
+    while( const auto model = decide::takeNextModel( m_recall, isLocal, m_random.unit() ) ) {
         const auto step = nextStep( held, { *model, "", false }, now );
         if( step.kind == StepKind::load ) {
             return step;
@@ -183,16 +183,16 @@
     const auto held = m_view.holdings( now );
     for( auto it = m_wants.begin(); it != m_wants.end(); ) {
         const auto waited = remaining( it->since, now );
-        Want want = it->want;
-        want.fromStore = want.fromStore && waited <= gateway::storeGrantLife;
-        const auto step = nextStep( held, want, now );
+        RequiredModel required = it->required;
+        required.fromStore = required.fromStore && waited <= gateway::storeGrantLifetime;
+        const auto step = nextStep( held, required, now );
         if( const auto outcome = outcomeOf( step.kind, waited, limitOf( *it, held ) ) ) {
-            Question question = std::move( *it );
+            PendingEnsure ensure = std::move( *it );
             it = m_wants.erase( it );
             if( *outcome == EnsureOutcome::ready ) {
-                m_host.ready( std::move( question ) );
+                m_host.ready( std::move( ensure ) );
             } else {
-                m_host.answer( question, *outcome );
+                m_host.answer( ensure, *outcome );
             }
             continue;
         }
@@ -213,7 +213,7 @@
     if( m_fence == 0 ) {
         co_return;
     }
-    if( !order && !held.report->ordering ) {
+    if( !order && !held.report->orderInProgress ) {
         order = recallStep( held, now );
         upstreamId = m_engineId;
     }
@@ -266,7 +266,7 @@
         m_former.erase( m_former.begin() );
     }
     m_host.changed();
-    fail( [&meant]( const Question& it ) { return it.upstreamId == meant; } );
+    fail( [&meant]( const PendingEnsure& it ) { return it.upstreamId == meant; } );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/orders.hpp
+++ b/src/sidecar/orders.hpp
@@ -22,21 +22,21 @@
 class Orders {
 public:
     //! Functions that the sidecar provides.
-    struct Host {
-        std::function<void( const Question& question, gateway::EnsureOutcome outcome )> answer;
-        std::function<void( Question question )> ready; //!< the model and adapter are resident
+    struct Callbacks {
+        std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome )> answer;
+        std::function<void( PendingEnsure ensure )> ready; //!< the model and adapter are resident
         std::function<void()> changed; //!< gateways need a new report of the engine
     };
 
     Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
             EngineClient& engine, EngineView& view, RandomSource& random, metrics::Metrics& metrics,
-            Host host );
+            Callbacks host );
 
     //! Starts to obtain the fencing token; no order is sent without it. On the deployment's first
     //! start the token is a constant, and the store is not called.
     void start();
     //! Queues an ensure request for a model or adapter that is not resident.
-    void add( Question question );
+    void add( PendingEnsure ensure );
     void forget( std::uint64_t key );
     void forgetPeer( const Peer& peer );
     bool waiting() const noexcept { return !m_wants.empty(); }
@@ -44,7 +44,7 @@
     //! Sets the id of the engine's present start, as reported by gateways.
     void setEngine( const std::string& upstreamId ) { m_engineId = upstreamId; }
     //! Loads models again that the engine held before it restarted empty.
-    void recall( std::vector<decide::FormerModel> lost );
+    void modelRestore( std::vector<decide::PreviousModel> lost );
     //! Likewise when this process has just started and did not see what the engine held: takes the
     //! models from the engine's entry in the store.
     void recallFromStore();
@@ -64,10 +64,10 @@
 private:
     net::Task<> obtainFence();
     net::Task<> readFormer();
-    std::optional<Step> recallStep( const Holdings& held, MonoTime now );
+    std::optional<Step> recallStep( const ResidencyState& held, MonoTime now );
     net::Task<> give( Step step, std::string upstreamId );
     void noteMoved( const std::string& meant, const std::string& actual );
-    void fail( const std::function<bool( const Question& question )>& which );
+    void fail( const std::function<bool( const PendingEnsure& ensure )>& which );
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
@@ -75,13 +75,13 @@
     EngineView& m_view;
     RandomSource& m_random;
     metrics::Metrics& m_metrics;
-    Host m_host;
-    std::list<Question> m_wants;
+    Callbacks m_host;
+    std::list<PendingEnsure> m_wants;
     std::uint64_t m_fence = 0; //!< 0: none yet
     std::string m_engineId;    //!< id of the engine's present start, as far as known
     std::vector<std::string> m_former;
     std::optional<MonoTime> m_orderAt; //!< when the last order was sent
-    decide::Recall m_recall;
+    decide::ModelRestore m_recall;
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -13,7 +13,7 @@
 //! Smooths the usual prompt size over about the last ten prompts.
 constexpr double usualSmoothing = 0.1;
 
-gateway::Generation generationOf( const PromptAsk& ask ) {
+gateway::Generation generationOf( const PromptRequest& ask ) {
     gateway::Generation out;
     out.model = ask.model;
     out.adapter = ask.adapter;
@@ -24,7 +24,7 @@
     return out;
 }
 
-std::vector<std::uint64_t> keysOf( const PromptAsk& ask ) {
+std::vector<std::uint64_t> keysOf( const PromptRequest& ask ) {
     std::vector<std::uint64_t> out;
     for( const auto& it : ask.prompt.parts ) {
         out.push_back( it.key );
@@ -42,15 +42,15 @@
     }
 }
 
-double PromptGate::workOf( const PromptAsk& ask ) const {
-    const auto kept = m_prefixes.kept( keysOf( ask ), generationOf( ask ) );
-    const auto fresh = std::max<std::int64_t>( ask.prompt.tokens - kept, 0 );
+double PromptGate::workOf( const PromptRequest& ask ) const {
+    const auto cachedTokens = m_prefixes.cachedTokens( keysOf( ask ), generationOf( ask ) );
+    const auto fresh = std::max<std::int64_t>( ask.prompt.tokens - cachedTokens, 0 );
     return static_cast<double>( fresh ) * ask.prompt.msPerToken;
 }
 
-decide::ReadingVerdict PromptGate::ask( const PromptAsk& ask, MonoTime now ) {
+decide::ReadingVerdict PromptGate::ask( const PromptRequest& ask, MonoTime now ) {
     const auto goal = ask.since + std::min( Millis( ask.prompt.goalMs ), ask.limit );
-    decide::ReadingAsk reading{ ask.key, workOf( ask ), goal };
+    decide::ReadingRequest reading{ ask.key, workOf( ask ), goal };
     auto verdict = m_queue.ask( reading, now );
     if( !verdict.accepted && ask.prompt.late ) {
         reading.startBy = ask.since + ask.limit;
@@ -62,7 +62,7 @@
     return verdict;
 }
 
-std::vector<PromptLeave> PromptGate::takeDue( MonoTime now ) {
+std::vector<PromptLeave> PromptGate::takeAdmitted( MonoTime now ) {
     std::vector<PromptLeave> out;
     while( const auto next = m_queue.takeNext( now ) ) {
         const auto it = m_waiting.find( next->key );
@@ -75,9 +75,9 @@
     return out;
 }
 
-std::vector<std::uint64_t> PromptGate::takeLate( MonoTime now ) {
+std::vector<std::uint64_t> PromptGate::takeExpired( MonoTime now ) {
     std::vector<std::uint64_t> out;
-    for( auto reading : m_queue.takeLate( now ) ) {
+    for( auto reading : m_queue.takeExpired( now ) ) {
         const auto it = m_waiting.find( reading.key );
         const auto last = it->second.since + it->second.limit;
         // The goal is missed, but this prompt may start late: queue it again within its limit.
--- a/src/sidecar/prompt_gate.hpp
+++ b/src/sidecar/prompt_gate.hpp
@@ -17,11 +17,11 @@
 namespace coursehead::sidecar {
 
 //! A prompt that waits to be admitted to the engine.
-struct PromptAsk {
+struct PromptRequest {
     std::uint64_t key = 0; //!< unique among the prompts of all gateways
     std::string model;
     std::string adapter;
-    gateway::AskedPrompt prompt;
+    gateway::PendingPrompt prompt;
     MonoTime since;    //!< when the gateway's ensure request arrived
     Millis limit{ 0 }; //!< longest wait, counted from `since`
 };
@@ -45,12 +45,12 @@
     //! zero.
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! Queues a prompt, or refuses it and returns when the engine could start to read it.
-    decide::ReadingVerdict ask( const PromptAsk& ask, MonoTime now );
+    decide::ReadingVerdict ask( const PromptRequest& ask, MonoTime now );
     //! Removes and returns the prompts that may be sent now.
-    std::vector<PromptLeave> takeDue( MonoTime now );
+    std::vector<PromptLeave> takeAdmitted( MonoTime now );
     //! Removes the prompts that can no longer start in time, and returns their keys.
-    std::vector<std::uint64_t> takeLate( MonoTime now );
-    //! When takeDue() will return the next prompt; nullopt while none waits.
+    std::vector<std::uint64_t> takeExpired( MonoTime now );
+    //! When takeAdmitted() will return the next prompt; nullopt while none waits.
     std::optional<MonoTime> nextAt( MonoTime now ) const { return m_queue.nextAt( now ); }
     //! Removes a prompt that its request no longer needs, queued or admitted.
     void withdraw( std::uint64_t key, MonoTime now );
@@ -68,13 +68,13 @@
     bool busy( MonoTime now ) const { return m_queue.busy( now ); }
 
 private:
-    double workOf( const PromptAsk& ask ) const;
+    double workOf( const PromptRequest& ask ) const;
 
     decide::ReadingQueue m_queue;
     gateway::PrefixCache m_prefixes;
     std::int64_t m_cacheTokens = 0;
-    std::map<std::uint64_t, PromptAsk> m_waiting; //!< by key
-    double m_usualWorkMs = 0;                     //!< smoothed over the admitted prompts
+    std::map<std::uint64_t, PromptRequest> m_waiting; //!< by key
+    double m_usualWorkMs = 0;                         //!< smoothed over the admitted prompts
     //! Admission times of prompts that may not have reached the engine.
     std::deque<MonoTime> m_leaves;
 };
--- a/src/sidecar/publisher.cpp
+++ b/src/sidecar/publisher.cpp
@@ -34,11 +34,12 @@
     const auto now = MonoClock::now();
     gateway::EngineLoad out;
     const auto& engine = m_parts.view.report();
-    out.ordering = engine.ordering;
+    out.orderInProgress = engine.orderInProgress;
     out.queued = engine.queued;
     out.running = engine.running;
     out.prefilling = engine.prefilling;
-    out.adapterRoom = !m_parts.view.spec() || adapterRoom( m_parts.view.holdings( now ), now );
+    out.hasAdapterCapacity =
+        !m_parts.view.spec() || hasAdapterCapacity( m_parts.view.holdings( now ), now );
     out.gateways = static_cast<int>( m_parts.peers.size() );
     constexpr double percent = 100;
     double reading = 0;
@@ -57,8 +58,8 @@
     out.reachable = m_reachable;
     out.born = engine.born;
     out.formerUpstreams = m_parts.orders.former();
-    out.residents = m_parts.view.offered();
-    out.coming = engine.coming;
+    out.residents = m_parts.view.availableResidents();
+    out.loadingAdapters = engine.loadingAdapters;
     out.onDisk = engine.onDisk;
     out.inMemory = engine.inMemory;
     out.load = load();
@@ -92,13 +93,13 @@
 
 std::string Publisher::encodedReport() {
     auto out = report();
-    out.load.sentParts = m_parts.sentParts.takeNew();
+    out.load.sentParts = m_parts.sentParts.takeUnpublished();
     return gateway::encode( gateway::Message( std::move( out ) ) );
 }
 
 std::string Publisher::encodedLoad() {
     gateway::LoadReport out{ load() };
-    out.load.sentParts = m_parts.sentParts.takeNew();
+    out.load.sentParts = m_parts.sentParts.takeUnpublished();
     return gateway::encode( gateway::Message( std::move( out ) ) );
 }
 
--- a/src/sidecar/quarantine_keeper.hpp
+++ b/src/sidecar/quarantine_keeper.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_SIDECAR_QUARANTINE_KEEPER_HPP_INCLUDED
 
 #include "coursehead/metrics/metrics.hpp"
-#include "decide/poison_book.hpp"
+#include "decide/poison_counter.hpp"
 #include "decide/quarantine_list.hpp"
 #include "platform/store_client.hpp"
 
@@ -39,7 +39,7 @@
     platform::StoreClient m_store;
     metrics::Metrics& m_metrics;
     Tell m_tell;
-    decide::PoisonBook m_book;
+    decide::PoisonCounter m_book;
     decide::QuarantineList m_quarantines;
     std::deque<decide::Quarantine> m_unwritten;
     bool m_writing = false;
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/question.hpp
@@ -27,13 +27,13 @@
 
 //! An ensure request of a gateway that is not answered yet: it waits for a model or adapter to be
 //! resident, then for its prompt to be admitted.
-struct Question {
-    Want want;
+struct PendingEnsure {
+    RequiredModel required;
     std::string upstreamId;
     std::weak_ptr<Peer> peer;
     std::uint64_t number = 0; //!< the gateway's own number of the request
     std::uint64_t key = 0;    //!< unique over all connections
-    gateway::AskedPrompt prompt;
+    gateway::PendingPrompt prompt;
     MonoTime since;
     Millis limit{ 0 };   //!< longest wait, counted from `since`
     bool loaded = false; //!< the model or adapter was not resident at first
--- a/src/sidecar/relay.cpp
+++ b/src/sidecar/relay.cpp
@@ -12,8 +12,8 @@
 
 namespace coursehead::sidecar {
 
-using gateway::StoreNews;
 using gateway::StorePart;
+using gateway::StoreUpdate;
 using gateway::Upstream;
 
 namespace {
@@ -61,7 +61,7 @@
 }
 
 //! Adds an evacuation by its name, or a quarantine with the time that is left of it now.
-void addObject( StoreNews& news, const platform::StoreObject& object ) {
+void addObject( StoreUpdate& news, const platform::StoreObject& object ) {
     if( news.part == StorePart::evacuations ) {
         news.emptied.push_back( object.name );
         return;
@@ -112,12 +112,12 @@
 void Relay::startPart( StorePart kind ) {
     const auto part = std::make_shared<Part>();
     part->part = kind;
-    gateway::FollowSettings settings;
+    gateway::FollowerSettings settings;
     settings.kind = std::string( kindOf( kind ) );
     settings.metrics = &m_metrics;
     if( kind == StorePart::upstreams ) {
-        settings.wait = gateway::relayWait( m_settings.bounds );
-        settings.pause = gateway::relayPause( m_settings.bounds );
+        settings.wait = gateway::relayWatchWait( m_settings.bounds );
+        settings.pause = gateway::relayCallPause( m_settings.bounds );
     } else {
         settings.wait = gateway::watchWait( m_settings.bounds );
     }
@@ -130,7 +130,7 @@
     net::asio::co_spawn( m_context, std::move( task ), net::asio::detached );
 }
 
-gateway::FollowHandlers Relay::handlersFor( const PartPtr& part ) {
+gateway::FollowerHandlers Relay::handlersFor( const PartPtr& part ) {
     // The part owns its follower, and the follower these handlers: a strong pointer to the part
     // would be a reference cycle.
     const std::weak_ptr<Part> weak = part;
@@ -140,7 +140,7 @@
             it && std::find( m_parts.begin(), m_parts.end(), it ) != m_parts.end();
         return followed ? it.get() : nullptr;
     };
-    gateway::FollowHandlers out;
+    gateway::FollowerHandlers out;
     out.listing = [this, current]( const std::vector<platform::StoreObject>& objects ) {
         if( auto* it = current() ) {
             takeListing( *it, objects );
@@ -273,8 +273,8 @@
     }
 }
 
-StoreNews Relay::wholeNews( const Part& part ) {
-    StoreNews out;
+StoreUpdate Relay::wholeNews( const Part& part ) {
+    StoreUpdate out;
     out.part = part.part;
     out.position = part.position;
     out.whole = true;
@@ -288,8 +288,8 @@
     return out;
 }
 
-StoreNews Relay::changes( const Part& part ) {
-    StoreNews out;
+StoreUpdate Relay::changes( const Part& part ) {
+    StoreUpdate out;
     out.part = part.part;
     out.position = part.position;
     for( const auto& it : part.changed ) {
@@ -325,7 +325,7 @@
 }
 
 void Relay::publishUnreachable( Part& part ) {
-    StoreNews news;
+    StoreUpdate news;
     news.part = part.part;
     news.position = part.position;
     news.reachable = false;
--- a/src/sidecar/relay.hpp
+++ b/src/sidecar/relay.hpp
@@ -56,7 +56,7 @@
     };
 
     void startPart( gateway::StorePart kind );
-    gateway::FollowHandlers handlersFor( const PartPtr& part );
+    gateway::FollowerHandlers handlersFor( const PartPtr& part );
     static void put( Part& part, const platform::StoreObject& object );
     static void remove( Part& part, const std::string& name );
     void takeListing( Part& part, const std::vector<platform::StoreObject>& objects );
@@ -64,8 +64,8 @@
     net::Task<> writeAgain( std::vector<platform::StoreObject> objects );
     void publish( Part& part );
     void publishUnreachable( Part& part );
-    static gateway::StoreNews wholeNews( const Part& part );
-    static gateway::StoreNews changes( const Part& part );
+    static gateway::StoreUpdate wholeNews( const Part& part );
+    static gateway::StoreUpdate changes( const Part& part );
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
--- a/src/sidecar/report_news.cpp
+++ b/src/sidecar/report_news.cpp
@@ -18,12 +18,12 @@
 } // namespace
 
 bool shapeDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b ) {
-    return a.residents != b.residents || a.coming != b.coming || a.onDisk != b.onDisk ||
-           a.inMemory != b.inMemory;
+    return a.residents != b.residents || a.loadingAdapters != b.loadingAdapters ||
+           a.onDisk != b.onDisk || a.inMemory != b.inMemory;
 }
 
 bool loadDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b ) {
-    return a.ordering != b.ordering || a.queued != b.queued ||
+    return a.orderInProgress != b.orderInProgress || a.queued != b.queued ||
            apart( a.running, b.running, runningStep ) ||
            apart( a.prefilling, b.prefilling, prefillingStep );
 }
--- a/src/sidecar/residency.cpp
+++ b/src/sidecar/residency.cpp
@@ -64,21 +64,21 @@
 }
 
 std::size_t adapterCount( const EngineReport& report ) {
-    std::size_t out = report.coming.size();
+    std::size_t out = report.loadingAdapters.size();
     for( const auto& it : report.residents ) {
         out += it.adapters.size();
     }
     return out;
 }
 
-Use useOf( const std::map<std::string, Use, std::less<>>& uses, std::string_view key ) {
+Usage useOf( const std::map<std::string, Usage, std::less<>>& uses, std::string_view key ) {
     const auto it = uses.find( key );
-    return it == uses.end() ? Use{} : it->second;
+    return it == uses.end() ? Usage{} : it->second;
 }
 
 //! Cost of unloading a copy of a model, in affected requests a second. Without one of several
 //! copies the others take over its requests; without the last copy every request waits for a load.
-double valueOf( const Use& use ) {
+double valueOf( const Usage& use ) {
     const double runs = runPerS * std::min( use.running, mostRuns );
     if( use.copies > 1 ) {
         return runs + use.perS / ( static_cast<double>( use.copies ) * ( use.copies - 1 ) );
@@ -86,14 +86,14 @@
     return runs + use.perS + lastCopyPerS;
 }
 
-std::optional<std::string> modelToUnload( const Holdings& holdings, std::string_view wanted,
+std::optional<std::string> modelToUnload( const ResidencyState& holdings, std::string_view wanted,
                                           MonoTime now ) {
     if( !holdings.retiring.empty() && holdings.retiring != wanted &&
         findModel( *holdings.report, holdings.retiring ) != nullptr ) {
         return holdings.retiring;
     }
     const Resident* best = nullptr;
-    Use bestUse;
+    Usage bestUse;
     for( const auto& it : holdings.report->residents ) {
         const auto use = useOf( holdings.models, it.model );
         const bool settled = now - use.loadedAt >= modelStay;
@@ -110,7 +110,7 @@
     return best == nullptr ? std::nullopt : std::optional( best->model );
 }
 
-std::optional<Step> adapterToUnload( const Holdings& holdings, MonoTime now ) {
+std::optional<Step> adapterToUnload( const ResidencyState& holdings, MonoTime now ) {
     std::optional<Step> out;
     MonoTime oldest;
     for( const auto& it : holdings.report->residents ) {
@@ -132,61 +132,62 @@
 
 //! Retires a busy model before it is unloaded: the engine delays an unload until the model's runs
 //! have ended, and accepts no other order meanwhile.
-Step stepToDrop( const Holdings& holdings, const std::string& model, MonoTime now ) {
+Step stepToDrop( const ResidencyState& holdings, const std::string& model, MonoTime now ) {
     const bool busy = useOf( holdings.models, model ).running > 0;
     const bool waited = holdings.retiring == model && now - holdings.retiringSince >= retireLimit;
     return { busy && !waited ? StepKind::retire : StepKind::unload, model, "" };
 }
 
-Step stepToModel( const Holdings& holdings, const Want& want, MonoTime now ) {
+Step stepToModel( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
     const auto& report = *holdings.report;
-    const auto* spec = holdings.engine->find( want.model );
+    const auto* spec = holdings.engine->find( required.model );
     if( spec == nullptr ) {
-        return { StepKind::unknown, want.model, "" };
+        return { StepKind::unknown, required.model, "" };
     }
-    if( report.ordering ) {
-        return { StepKind::wait, want.model, "" };
+    if( report.orderInProgress ) {
+        return { StepKind::wait, required.model, "" };
     }
     const bool near =
-        contains( report.inMemory, want.model ) || contains( report.onDisk, want.model );
-    if( !near && !want.fromStore ) {
-        return { StepKind::needStore, want.model, "" };
+        contains( report.inMemory, required.model ) || contains( report.onDisk, required.model );
+    if( !near && !required.fromStore ) {
+        return { StepKind::needsWeightStore, required.model, "" };
     }
     if( usedMb( *holdings.engine, report ) + spec->weightsMb <= holdings.engine->weightsMb ) {
-        return { StepKind::load, want.model, "" };
+        return { StepKind::load, required.model, "" };
     }
-    const auto victim = modelToUnload( holdings, want.model, now );
+    const auto victim = modelToUnload( holdings, required.model, now );
     if( !victim ) {
-        return { StepKind::noRoom, want.model, "" };
+        return { StepKind::noCapacity, required.model, "" };
     }
     return stepToDrop( holdings, *victim, now );
 }
 
-Step stepToAdapter( const Holdings& holdings, const Want& want, MonoTime now ) {
+Step stepToAdapter( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
     // While an order for a model is under way the engine accepts none for adapters either.
     const auto& report = *holdings.report;
-    const auto key = adapterKey( want.model, want.adapter );
-    if( report.ordering || contains( report.coming, key ) ) {
-        return { StepKind::wait, want.model, want.adapter };
+    const auto key = adapterKey( required.model, required.adapter );
+    if( report.orderInProgress || contains( report.loadingAdapters, key ) ) {
+        return { StepKind::wait, required.model, required.adapter };
     }
     const bool slot =
         adapterCount( report ) < static_cast<std::size_t>( holdings.engine->adapterSlots );
     const bool room =
-        usedMb( *holdings.engine, report ) + adapterWeight( *holdings.engine, want.model ) <=
+        usedMb( *holdings.engine, report ) + adapterWeight( *holdings.engine, required.model ) <=
         holdings.engine->weightsMb;
     if( slot && room ) {
-        return report.coming.size() < maxComing ? Step{ StepKind::load, want.model, want.adapter }
-                                                : Step{ StepKind::wait, want.model, want.adapter };
+        return report.loadingAdapters.size() < maxComing
+                   ? Step{ StepKind::load, required.model, required.adapter }
+                   : Step{ StepKind::wait, required.model, required.adapter };
     }
     if( const auto victim = adapterToUnload( holdings, now ) ) {
         return *victim;
     }
-    return { StepKind::noRoom, want.model, want.adapter };
+    return { StepKind::noCapacity, required.model, required.adapter };
 }
 
 } // namespace
 
-bool adapterRoom( const Holdings& holdings, MonoTime now ) {
+bool hasAdapterCapacity( const ResidencyState& holdings, MonoTime now ) {
     const auto slots = static_cast<std::size_t>( holdings.engine->adapterSlots );
     return adapterCount( *holdings.report ) < slots || adapterToUnload( holdings, now ).has_value();
 }
@@ -204,34 +205,36 @@
         out += weightOf( engine, it.model );
         out += adapterWeight( engine, it.model ) * static_cast<double>( it.adapters.size() );
     }
-    for( const auto& it : report.coming ) {
+    for( const auto& it : report.loadingAdapters ) {
         out += adapterWeight( engine, std::string_view( it ).substr( 0, it.find( '/' ) ) );
     }
     return out;
 }
 
-void settleUnloads( std::vector<Unloading>& unloads, const EngineReport& report, MonoTime now ) {
-    std::erase_if( unloads, [&]( const Unloading& it ) {
+void removeFinishedUnloads( std::vector<PendingUnload>& unloads, const EngineReport& report,
+                            MonoTime now ) {
+    std::erase_if( unloads, [&]( const PendingUnload& it ) {
         const auto* resident = findModel( report, it.model );
         if( resident == nullptr ) {
             return true;
         }
         if( it.adapter.empty() ) {
-            return !report.ordering;
+            return !report.orderInProgress;
         }
         return !contains( resident->adapters, it.adapter ) || now - it.since > adapterUnload;
     } );
 }
 
-bool isUnloading( const std::vector<Unloading>& unloads, std::string_view model,
+bool isUnloading( const std::vector<PendingUnload>& unloads, std::string_view model,
                   std::string_view adapter ) {
-    return std::any_of( unloads.begin(), unloads.end(), [&]( const Unloading& it ) {
+    return std::any_of( unloads.begin(), unloads.end(), [&]( const PendingUnload& it ) {
         return it.model == model && ( it.adapter.empty() || it.adapter == adapter );
     } );
 }
 
-std::vector<Resident> offered( const std::vector<Resident>& residents,
-                               const std::vector<Unloading>& unloads, std::string_view retiring ) {
+std::vector<Resident> availableResidents( const std::vector<Resident>& residents,
+                                          const std::vector<PendingUnload>& unloads,
+                                          std::string_view retiring ) {
     std::vector<Resident> out;
     for( const auto& it : residents ) {
         if( it.model == retiring || isUnloading( unloads, it.model, "" ) ) {
@@ -245,18 +248,18 @@
     return out;
 }
 
-Step nextStep( const Holdings& holdings, const Want& want, MonoTime now ) {
-    const auto* resident = findModel( *holdings.report, want.model );
-    if( resident != nullptr && isUnloading( holdings.unloads, want.model, want.adapter ) ) {
-        return { StepKind::leaving, want.model, want.adapter };
+Step nextStep( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
+    const auto* resident = findModel( *holdings.report, required.model );
+    if( resident != nullptr && isUnloading( holdings.unloads, required.model, required.adapter ) ) {
+        return { StepKind::unloading, required.model, required.adapter };
     }
     if( resident == nullptr ) {
-        return stepToModel( holdings, want, now );
+        return stepToModel( holdings, required, now );
     }
-    if( want.adapter.empty() || contains( resident->adapters, want.adapter ) ) {
-        return { StepKind::ready, want.model, want.adapter };
+    if( required.adapter.empty() || contains( resident->adapters, required.adapter ) ) {
+        return { StepKind::ready, required.model, required.adapter };
     }
-    return stepToAdapter( holdings, want, now );
+    return stepToAdapter( holdings, required, now );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/residency.hpp
+++ b/src/sidecar/residency.hpp
@@ -13,7 +13,7 @@
 namespace coursehead::sidecar {
 
 //! How much a model or adapter is used, as far as the sidecar knows.
-struct Use {
+struct Usage {
     double perS = 0; //!< requests a second of all gateways together
     int copies = 1;  //!< upstreams that hold it
     int running = 0; //!< requests for it in flight at this engine, as reported by gateways
@@ -27,53 +27,53 @@
  * meanwhile its reports still list it as resident. Requests sent to it in that time are refused:
  * they were 270 of the 290 refusals by engines on a loaded day.
  */
-struct Unloading {
+struct PendingUnload {
     std::string model;
     std::string adapter; //!< empty: the model itself
     MonoTime since;      //!< when the order was sent
 };
 //! Removes the unloads that a report shows to be complete or lost. The report must have been
 //! requested after the orders were sent.
-void settleUnloads( std::vector<Unloading>& unloads, const gateway::EngineReport& report,
-                    MonoTime now );
-bool isUnloading( const std::vector<Unloading>& unloads, std::string_view model,
+void removeFinishedUnloads( std::vector<PendingUnload>& unloads,
+                            const gateway::EngineReport& report, MonoTime now );
+bool isUnloading( const std::vector<PendingUnload>& unloads, std::string_view model,
                   std::string_view adapter );
 //! The residents that requests may still be sent for: without those being unloaded and without the
 //! retiring model.
-std::vector<gateway::Resident> offered( const std::vector<gateway::Resident>& residents,
-                                        const std::vector<Unloading>& unloads,
-                                        std::string_view retiring );
+std::vector<gateway::Resident> availableResidents( const std::vector<gateway::Resident>& residents,
+                                                   const std::vector<PendingUnload>& unloads,
+                                                   std::string_view retiring );
 
 //! Input of the decision: the engine's contents, their use, and the changes under way.
-struct Holdings {
+struct ResidencyState {
     const gateway::EngineSpec* engine = nullptr;
     const gateway::EngineReport* report = nullptr;
-    std::map<std::string, Use, std::less<>> models;
-    std::map<std::string, Use, std::less<>> adapters; //!< by MODEL/ADAPTER
+    std::map<std::string, Usage, std::less<>> models;
+    std::map<std::string, Usage, std::less<>> adapters; //!< by MODEL/ADAPTER
     std::string retiring; //!< model that is sent no new requests; empty: none
     MonoTime retiringSince;
-    std::vector<Unloading> unloads; //!< under way; they still occupy memory
+    std::vector<PendingUnload> unloads; //!< under way; they still occupy memory
 };
 
 //! The model, and the adapter of it if any, that a request requires.
-struct Want {
+struct RequiredModel {
     std::string model;
     std::string adapter;    //!< empty: only the model
     bool fromStore = false; //!< loading from the weight store is allowed
 
-    bool operator==( const Want& ) const = default;
+    bool operator==( const RequiredModel& ) const = default;
 };
 
 enum class StepKind {
-    ready,   //!< resident
-    leaving, //!< being unloaded: requests are neither admitted nor queued for it
-    wait,    //!< an order under way has to finish first
-    load,    //!< order to load `model` or `adapter`
-    unload,  //!< order to unload `model` or `adapter`, to free capacity
-    retire,  //!< stop sending requests for `model`, and unload it when the running ones have ended
-    noRoom,  //!< nothing may be unloaded now
-    needStore, //!< only the weight store has it, and loading from there is not allowed
-    unknown,   //!< the engine's service does not offer the model
+    ready,     //!< resident
+    unloading, //!< being unloaded: requests are neither admitted nor queued for it
+    wait,      //!< an order under way has to finish first
+    load,      //!< order to load `model` or `adapter`
+    unload,    //!< order to unload `model` or `adapter`, to free capacity
+    retire, //!< stop sending requests for `model`, and unload it when the running ones have ended
+    noCapacity,       //!< nothing may be unloaded now
+    needsWeightStore, //!< only the weight store has it, and loading from there is not allowed
+    unknown,          //!< the engine's service does not offer the model
 };
 struct Step {
     StepKind kind = StepKind::wait;
@@ -82,13 +82,13 @@
 };
 
 //! The next step towards making the required model or adapter resident.
-Step nextStep( const Holdings& holdings, const Want& want, MonoTime now );
+Step nextStep( const ResidencyState& holdings, const RequiredModel& required, MonoTime now );
 
 //! Memory taken by weights and adapters that are resident or loading, in megabytes.
 double usedMb( const gateway::EngineSpec& engine, const gateway::EngineReport& report );
 
 //! True when another adapter can be loaded without waiting for running requests to end.
-bool adapterRoom( const Holdings& holdings, MonoTime now );
+bool hasAdapterCapacity( const ResidencyState& holdings, MonoTime now );
 
 //! MODEL/ADAPTER, as engines report adapters that are loading.
 std::string adapterKey( std::string_view model, std::string_view adapter );
--- a/src/sidecar/sent_parts.cpp
+++ b/src/sidecar/sent_parts.cpp
@@ -28,7 +28,7 @@
     }
 }
 
-std::vector<gateway::SentPart> SentParts::takeNew() {
+std::vector<gateway::SentPart> SentParts::takeUnpublished() {
     std::vector<gateway::SentPart> out;
     for( auto& it : m_entries ) {
         if( !it.told ) {
--- a/src/sidecar/sent_parts.hpp
+++ b/src/sidecar/sent_parts.hpp
@@ -20,7 +20,7 @@
 public:
     void add( std::span<const gateway::SentPart> parts );
     //! The parts added or used again since the last call, most recently used last.
-    std::vector<gateway::SentPart> takeNew();
+    std::vector<gateway::SentPart> takeUnpublished();
     //! All parts that are kept, most recently used last.
     std::vector<gateway::SentPart> all() const;
     void clear();
--- a/src/sidecar/shared_counts.cpp
+++ b/src/sidecar/shared_counts.cpp
@@ -33,15 +33,15 @@
 
 bool SharedCounts::takeQuota( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
-    if( const auto* news = std::get_if<decide::QuotaNews>( &message ) ) {
-        m_quotas.takeNews( *news, now );
+    if( const auto* news = std::get_if<decide::QuotaUpdate>( &message ) ) {
+        m_quotas.takeUpdate( *news, now );
         return true;
     }
     if( const auto* back = std::get_if<decide::QuotaReturn>( &message ) ) {
-        m_quotas.takeBack( *back, now );
+        m_quotas.acceptReturn( *back, now );
         return true;
     }
-    if( const auto* ask = std::get_if<decide::QuotaAsk>( &message ) ) {
+    if( const auto* ask = std::get_if<decide::QuotaRequest>( &message ) ) {
         const auto answer = m_quotas.ask( peer.gateway, *ask, now );
         m_metrics.count( "quota_asks", answer.granted > 0 ? "granted" : "refused" );
         send( peer, gateway::Message( answer ) );
@@ -52,16 +52,16 @@
 
 bool SharedCounts::takeLimit( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
-    if( const auto* news = std::get_if<decide::LimitNews>( &message ) ) {
-        m_limits.takeNews( *news, now );
+    if( const auto* news = std::get_if<decide::LimitUpdate>( &message ) ) {
+        m_limits.takeUpdate( *news, now );
         spreadLimits( now );
         return true;
     }
     if( const auto* back = std::get_if<decide::LimitReturn>( &message ) ) {
-        m_limits.takeBack( *back, now );
+        m_limits.acceptReturn( *back, now );
         return true;
     }
-    if( const auto* ask = std::get_if<decide::LimitAsk>( &message ) ) {
+    if( const auto* ask = std::get_if<decide::LimitRequest>( &message ) ) {
         const auto answer = m_limits.ask( peer.gateway, *ask, now );
         m_metrics.count( "limit_asks", nameOf( answer.verdict ) );
         send( peer, gateway::Message( answer ) );
@@ -72,17 +72,18 @@
 }
 
 void SharedCounts::spreadLimits( MonoTime now ) {
-    auto words = m_limits.takeChanges( now );
-    if( words.empty() ) {
+    auto statements = m_limits.takeChanges( now );
+    if( statements.empty() ) {
         return;
     }
-    for( const auto& it : words ) {
+    for( const auto& it : statements ) {
         log::info( "upstream_limit_spread", { { "upstream", it.start },
                                               { "limit_per_s", log::decimal( it.perS ) },
-                                              { "named_ms", it.namedMs },
-                                              { "none_ms", it.noneMs } } );
+                                              { "named_ms", it.namedAgoMs },
+                                              { "none_ms", it.noneAgoMs } } );
     }
-    const auto encoded = gateway::encode( gateway::Message( decide::LimitNews{ "", 1, words } ) );
+    const auto encoded =
+        gateway::encode( gateway::Message( decide::LimitUpdate{ "", 1, statements } ) );
     for( const auto& it : m_peers ) {
         it->channel->send( encoded );
     }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -100,7 +100,7 @@
                 log::warn( "accept_failed", { { "detail", ec.message() } } );
                 continue;
             }
-            net::tune( socket, peerSilence );
+            net::configureSocket( socket, peerSilence );
             auto task = servePeer( net::Socket( std::move( socket ) ) );
             net::start( m_context, std::move( task ), "peer" );
         }
@@ -128,15 +128,15 @@
             log::warn( "gateway_message_malformed", { { "gateway", peer->gateway } } );
             return;
         }
-        if( const auto* news = std::get_if<gateway::EngineNews>( &*message ) ) {
+        if( const auto* news = std::get_if<gateway::EngineUpdate>( &*message ) ) {
             takeNews( *peer, *news );
-        } else if( auto* spec = std::get_if<gateway::SpecNews>( &*message ) ) {
+        } else if( auto* spec = std::get_if<gateway::SpecAnswer>( &*message ) ) {
             takeSpec( std::move( *spec ) );
         } else if( const auto* ensure = std::get_if<gateway::EnsureRequest>( &*message ) ) {
             takeEnsure( peer, *ensure );
-        } else if( const auto* demand = std::get_if<gateway::DemandNews>( &*message ) ) {
+        } else if( const auto* demand = std::get_if<gateway::DemandUpdate>( &*message ) ) {
             takeDemand( *peer, *demand );
-        } else if( const auto* ask = std::get_if<gateway::RelayAsk>( &*message ) ) {
+        } else if( const auto* ask = std::get_if<gateway::RelayRequest>( &*message ) ) {
             takeRelayAsk( peer, *ask );
         } else if( const auto* cancel = std::get_if<gateway::EnsureCancel>( &*message ) ) {
             forgetQuestion( keyOf( *peer, cancel->number ) );
@@ -161,7 +161,7 @@
 
     void tellQuarantine( const decide::Quarantine& quarantine ) {
         const auto encoded =
-            gateway::encode( gateway::Message( decide::QuarantineNews{ { quarantine } } ) );
+            gateway::encode( gateway::Message( decide::QuarantineUpdate{ { quarantine } } ) );
         for( const auto& it : m_peers ) {
             it->channel->send( encoded );
         }
@@ -170,20 +170,20 @@
     //! Sends all quarantines to a gateway that has just connected: it may have started after they
     //! were broadcast.
     void sendQuarantines( Peer& peer ) {
-        decide::QuarantineNews news{ m_quarantines.all( MonoClock::now() ) };
+        decide::QuarantineUpdate news{ m_quarantines.all( MonoClock::now() ) };
         if( !news.entries.empty() ) {
             peer.channel->send( gateway::encode( gateway::Message( std::move( news ) ) ) );
         }
     }
 
-    void takeNews( Peer& peer, const gateway::EngineNews& news ) {
+    void takeNews( Peer& peer, const gateway::EngineUpdate& news ) {
         const bool first = peer.gateway.empty();
         if( first ) {
             log::info( "gateway_connected", { { "gateway", news.gateway } } );
             sendQuarantines( peer );
         }
         peer.gateway = news.gateway;
-        const bool former = gateway::isFormer( news.born, m_view.report().born );
+        const bool former = gateway::isOlderStart( news.born, m_view.report().born );
         if( news.upstreamId != m_upstreamId && !former ) {
             m_upstreamId = news.upstreamId;
             m_orders.setEngine( news.upstreamId );
@@ -212,10 +212,11 @@
             return;
         }
         m_specAsked = now;
-        peer.channel->send( gateway::encode( gateway::Message( gateway::SpecAsk{ peer.spec } ) ) );
+        peer.channel->send(
+            gateway::encode( gateway::Message( gateway::SpecRequest{ peer.spec } ) ) );
     }
 
-    void takeSpec( gateway::SpecNews news ) {
+    void takeSpec( gateway::SpecAnswer news ) {
         if( news.key != m_wantedSpec ) {
             log::info( "engine_spec_outdated",
                        { { "spec", static_cast<std::int64_t>( news.key ) },
@@ -235,7 +236,7 @@
         m_publisher.noteChange();
     }
 
-    void takeRelayAsk( const PeerPtr& peer, const gateway::RelayAsk& ask ) {
+    void takeRelayAsk( const PeerPtr& peer, const gateway::RelayRequest& ask ) {
         if( !ask.wanted ) {
             m_relay.unsubscribe( peer.get() );
             return;
@@ -245,7 +246,7 @@
         } );
     }
 
-    void takeDemand( Peer& peer, const gateway::DemandNews& news ) {
+    void takeDemand( Peer& peer, const gateway::DemandUpdate& news ) {
         askSpec( peer );
         m_sentParts.add( news.sentParts );
         m_view.noteDemand( news, MonoClock::now() );
@@ -258,8 +259,8 @@
     }
 
     void takeEnsure( const PeerPtr& peer, const gateway::EnsureRequest& ensure ) {
-        Question question;
-        question.want = { ensure.model, ensure.adapter, ensure.fromStore };
+        PendingEnsure question;
+        question.required = { ensure.model, ensure.adapter, ensure.fromStore };
         question.upstreamId = ensure.upstreamId;
         question.peer = peer;
         question.number = ensure.number;
@@ -268,8 +269,9 @@
         question.since = MonoClock::now();
         m_admission.noteCold( Millis( ensure.coldMs ), ensure.coldPerS, question.since );
         question.limit = std::min( Millis( ensure.limitMs ), wantLimit );
-        m_view.noteUse( question.want, question.since );
-        if( m_view.spec() && m_reachable && m_view.isThere( question.want, question.since ) ) {
+        m_view.noteUse( question.required, question.since );
+        if( m_view.spec() && m_reachable &&
+            m_view.isResident( question.required, question.since ) ) {
             m_admission.admit( std::move( question ) );
             return;
         }
@@ -278,10 +280,10 @@
 
     //! Records the shared prompt parts that the engine reads, to publish them to all gateways. The
     //! last part belongs to this request alone.
-    void noteParts( const Question& question ) {
+    void noteParts( const PendingEnsure& question ) {
         std::vector<gateway::SentPart> parts;
         for( const auto& it : question.prompt.parts ) {
-            parts.push_back( { it.key, it.tokens, question.want.model } );
+            parts.push_back( { it.key, it.tokens, question.required.model } );
         }
         if( !parts.empty() ) {
             parts.pop_back();
@@ -289,31 +291,31 @@
         m_sentParts.add( parts );
     }
 
-    Admission::Host admissionHost() {
-        Admission::Host out;
-        out.isThere = [this]( const Want& want ) {
-            return m_view.isThere( want, MonoClock::now() );
+    Admission::Callbacks admissionHost() {
+        Admission::Callbacks out;
+        out.isResident = [this]( const RequiredModel& required ) {
+            return m_view.isResident( required, MonoClock::now() );
         };
-        out.answer = [this]( const Question& question, EnsureOutcome outcome, Millis wait,
+        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome, Millis wait,
                              double workMs ) {
             answer( question, outcome, wait, workMs );
         };
-        out.missing = [this]( Question question ) {
+        out.notResident = [this]( PendingEnsure question ) {
             waitForWant( std::move( question ) );
         };
-        out.given = [this]( const Question& question ) {
-            m_view.noteUse( question.want, MonoClock::now() );
+        out.admitted = [this]( const PendingEnsure& question ) {
+            m_view.noteUse( question.required, MonoClock::now() );
             noteParts( question );
         };
         return out;
     }
 
-    Orders::Host ordersHost() {
-        Orders::Host out;
-        out.answer = [this]( const Question& question, EnsureOutcome outcome ) {
+    Orders::Callbacks ordersHost() {
+        Orders::Callbacks out;
+        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome ) {
             answer( question, outcome );
         };
-        out.ready = [this]( Question question ) {
+        out.ready = [this]( PendingEnsure question ) {
             m_admission.admit( std::move( question ) );
         };
         out.changed = [this] {
@@ -322,7 +324,7 @@
         return out;
     }
 
-    void waitForWant( Question question ) {
+    void waitForWant( PendingEnsure question ) {
         m_orders.add( std::move( question ) );
         m_wake.cancel();
     }
@@ -371,7 +373,7 @@
         if( news.startedEmpty ) {
             m_orders.recallFromStore();
         } else if( !news.lost.empty() ) {
-            m_orders.recall( std::move( news.lost ) );
+            m_orders.modelRestore( std::move( news.lost ) );
         }
         if( m_gapTarget.count() > 0 ) {
             m_pauses.update( m_view.report().runs, m_gapTarget, now );
@@ -405,11 +407,11 @@
                    { { "running", static_cast<std::int64_t>( last.running ) },
                      { "queued", static_cast<std::int64_t>( last.queued ) },
                      { "runs", runsText( last.runs ) },
-                     { "ordering", last.ordering ? "yes" : "no" },
+                     { "ordering", last.orderInProgress ? "yes" : "no" },
                      { "order_age_ms", m_orders.lastOrderAge( MonoClock::now() ) } } );
     }
 
-    void answer( const Question& question, EnsureOutcome outcome, Millis wait = Millis{ 0 },
+    void answer( const PendingEnsure& question, EnsureOutcome outcome, Millis wait = Millis{ 0 },
                  double workMs = 0 ) {
         const auto peer = question.peer.lock();
         if( !peer ) {
@@ -420,12 +422,12 @@
         }
         const auto now = MonoClock::now();
         if( outcome == EnsureOutcome::ready ) {
-            m_view.noteLetIn( question.want.model, workMs, now );
+            m_view.noteLetIn( question.required.model, workMs, now );
         }
         m_metrics.count( "wants", gateway::nameOf( outcome ) );
         const gateway::Message message(
             gateway::EnsureAnswer{ question.number, outcome, wait.count(), workMs,
-                                   m_view.workPerS( question.want.model, now ) } );
+                                   m_view.workPerS( question.required.model, now ) } );
         peer->channel->send( gateway::encode( message ) );
     }
 
--- a/tests/fuzz/headers.cpp
+++ b/tests/fuzz/headers.cpp
@@ -28,7 +28,7 @@
     }
     static_cast<void>( platform::readRequestHead( fields ) );
     const auto said = platform::readAnswerHead( 200, fields ).announcement;
-    if( said.limit == decide::LimitSaid::named &&
+    if( said.limit == decide::LimitAnnouncement::named &&
         !( std::isfinite( said.limitPerS ) && said.limitPerS >= 0 ) ) {
         __builtin_trap();
     }
--- a/tests/promise/size.tests.cpp
+++ b/tests/promise/size.tests.cpp
@@ -46,7 +46,7 @@
             gatewaysSeen = report->load.gateways;
         } else if( const auto* load = std::get_if<gateway::LoadReport>( &*message ) ) {
             gatewaysSeen = load->load.gateways;
-        } else if( std::holds_alternative<gateway::SpecAsk>( *message ) ) {
+        } else if( std::holds_alternative<gateway::SpecRequest>( *message ) ) {
             ++specAsks;
         }
     }
@@ -65,7 +65,7 @@
         it.take( frame );
     };
     net::start( world.context, it.channel->run( std::move( handler ) ), "pretended gateway" );
-    gateway::EngineNews news;
+    gateway::EngineUpdate news;
     news.gateway = std::move( name );
     news.configVersion = 1000000;
     news.spec = spec;
@@ -92,8 +92,8 @@
     std::size_t after = 0;
     int served = 0;
     world.play( [&]() -> net::Task<> {
-        co_await waitUntil( world,
-                            [&] { return connections( world ) >= gateways * decide::usualLinks; } );
+        co_await waitUntil(
+            world, [&] { return connections( world ) >= gateways * decide::targetLinks; } );
         before = connections( world );
         served = co_await world.askStreams( streams );
         co_await net::pause( world.context, Millis( 1000 ) );
@@ -102,8 +102,8 @@
     CHECK( served == streams );
     // Beside them a relay's, and that of the one before it.
     constexpr std::size_t relays = 2;
-    CHECK( before <= gateways * ( decide::usualLinks + relays ) );
-    CHECK( after <= gateways * ( decide::mostLinks + relays ) );
+    CHECK( before <= gateways * ( decide::targetLinks + relays ) );
+    CHECK( after <= gateways * ( decide::maxLinks + relays ) );
 }
 
 TEST_CASE( "Gateways that start have the store listed for them, not each for itself",
@@ -194,7 +194,7 @@
         }
         co_await net::pause( world.context, Millis( 500 ) );
         for( auto& it : pretended ) {
-            it.channel->send( gateway::encode( gateway::Message( gateway::DemandNews{} ) ) );
+            it.channel->send( gateway::encode( gateway::Message( gateway::DemandUpdate{} ) ) );
         }
         co_await net::pause( world.context, Millis( 500 ) );
         askedLater = asks();
--- a/tests/replay/backoff_world.cpp
+++ b/tests/replay/backoff_world.cpp
@@ -32,11 +32,11 @@
 constexpr int sendsATry = 5;
 //! Pause until a request that waits chooses again.
 constexpr int look = 25;
-constexpr Millis usualRetryAfter{ 300 };
+constexpr Millis defaultRetryAfter{ 300 };
 
 //! An upstream as one gateway knows it.
 struct Known {
-    decide::Announcements announced;
+    decide::AnnouncedState announced;
     gateway::Health health;
     int inFlight = 0;
     decide::SlowStart slowStart;
@@ -130,9 +130,9 @@
             candidate.workMs = workMs;
             candidate.backlogMs = workMs * it.inFlight / slots;
             candidate.failures = gateway::recentFailures( it.health, m_now );
-            candidate.paceMs = static_cast<double>( backoff.count() );
+            candidate.sendDelayMs = static_cast<double>( backoff.count() );
             if( m_load.policy.slowStart && !it.slowStart.admits( it.inFlight ) ) {
-                candidate.paceMs += look;
+                candidate.sendDelayMs += look;
             }
             candidate.affinity = m_random.below( 1U << 30U );
             candidates.push_back( candidate );
@@ -143,7 +143,7 @@
             refuse( request, soonest( request ) );
             return;
         }
-        const double wait = candidates[*best].paceMs;
+        const double wait = candidates[*best].sendDelayMs;
         if( wait > 0 ) {
             waitOrRefuse( request, Millis( static_cast<std::int64_t>( wait ) ) );
             return;
@@ -168,7 +168,7 @@
             out = out.count() == 0 ? left : std::min( out, left );
         }
         const bool heard = m_load.policy.heeded && out.count() > 0;
-        return heard ? out : usualRetryAfter;
+        return heard ? out : defaultRetryAfter;
     }
 
     void refuse( Request request, Millis retryAfter ) {
--- a/tests/replay/emulated_engine.cpp
+++ b/tests/replay/emulated_engine.cpp
@@ -7,7 +7,7 @@
 
 std::size_t EmulatedEngine::unread() const {
     const auto reading = std::count_if( m_running.begin(), m_running.end(), []( const Run& it ) {
-        return it.readTokens < it.request.freshTokens;
+        return it.readTokens < it.request.uncachedTokens;
     } );
     return m_queue.size() + static_cast<std::size_t>( reading );
 }
@@ -20,7 +20,7 @@
         }
         m_now += step();
         for( auto& it : m_running ) {
-            if( it.readTokens >= it.request.freshTokens ) {
+            if( it.readTokens >= it.request.uncachedTokens ) {
                 makeToken( it );
             }
         }
@@ -44,7 +44,7 @@
     std::int64_t left = m_shape.pieceTokens;
     std::int64_t read = 0;
     for( auto& it : m_running ) {
-        const auto part = std::min( it.request.freshTokens - it.readTokens, left );
+        const auto part = std::min( it.request.uncachedTokens - it.readTokens, left );
         it.readTokens += part;
         left -= part;
         read += part;
--- a/tests/replay/emulated_engine.hpp
+++ b/tests/replay/emulated_engine.hpp
@@ -24,9 +24,9 @@
 //! A request as the engine sees it.
 struct EmulatedRequest {
     std::uint64_t key = 0;
-    double arrivedMs = 0;         //!< at the gateway, since the start of the replay
-    std::int64_t freshTokens = 0; //!< of the prompt, to be read
-    int events = 0;               //!< that its stream holds
+    double arrivedMs = 0;            //!< at the gateway, since the start of the replay
+    std::int64_t uncachedTokens = 0; //!< of the prompt, to be read
+    int events = 0;                  //!< that its stream holds
 };
 
 //! How a stream went.
--- a/tests/replay/limit_world.cpp
+++ b/tests/replay/limit_world.cpp
@@ -2,7 +2,7 @@
 #include "replay/limit_world.hpp"
 
 #include "coursehead/kernel/random.hpp"
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "decide/limit_holder.hpp"
 #include "support/limit_watch.hpp"
 
@@ -31,7 +31,7 @@
 struct Gateway {
     std::string name;
     int life = 0;
-    decide::LimitBook book;
+    decide::GatewayLimits book;
     std::vector<decide::LimitState> limits;    //!< by upstream
     std::vector<MonoTime> spent;               //!< likewise; of the way without others
     std::vector<std::optional<MonoTime>> told; //!< likewise: an answer named a limit, at first
@@ -139,7 +139,7 @@
         it.told.assign( m_upstreams.size(), std::nullopt );
         for( std::size_t u = 0; u < m_upstreams.size(); ++u ) {
             const double phase = m_random.unit();
-            it.limits.push_back( { {}, decide::Turns( phase ), {}, {} } );
+            it.limits.push_back( { {}, decide::SendSchedule( phase ), {}, {} } );
         }
         at( m_now + drawMillis( lookEvery ), [this, n, life] { tick( n, life ); } );
     }
@@ -227,15 +227,15 @@
 
     void look( std::size_t n ) {
         auto& it = m_gateways[n];
-        decide::LimitBook::Words words;
+        decide::GatewayLimits::Statements statements;
         for( std::size_t u = 0; u < m_upstreams.size(); ++u ) {
             const auto& known = it.limits[u].known;
-            if( decide::concerns( known, m_now ) ) {
+            if( decide::isReportable( known, m_now ) ) {
                 const auto& start = m_upstreams[u].start;
-                words.emplace( start, decide::wordOf( start, known, m_now ) );
+                statements.emplace( start, decide::statementOf( start, known, m_now ) );
             }
         }
-        it.book.setWords( std::move( words ) );
+        it.book.setStatements( std::move( statements ) );
         std::vector<decide::HolderCandidate> candidates;
         for( std::size_t h = 0; h < m_holders.size(); ++h ) {
             const bool answers = it.heard[h] != MonoTime{} && m_now - it.heard[h] <= silence;
@@ -251,13 +251,13 @@
         it.toldAt = m_now;
         for( std::size_t h = 0; h < m_holders.size(); ++h ) {
             const bool answers = it.heard[h] != MonoTime{} && m_now - it.heard[h] <= silence;
-            auto news = answers ? it.book.takeNews( m_holders[h].name, m_now ) : std::nullopt;
+            auto news = answers ? it.book.takeUpdate( m_holders[h].name, m_now ) : std::nullopt;
             if( !news || !sees( it, h ) ) {
                 continue;
             }
             news->gateway = it.name;
             at( m_now + delay(), [this, h, said = *news] {
-                m_holders[h].kept->takeNews( said, m_now );
+                m_holders[h].kept->takeUpdate( said, m_now );
                 spread( h );
             } );
         }
@@ -265,14 +265,15 @@
 
     //! All gateways hear what a holder has heard.
     void spread( std::size_t h ) {
-        for( const auto& word : m_holders[h].kept->takeChanges( m_now ) ) {
-            const auto it = std::find_if( m_upstreams.begin(), m_upstreams.end(),
-                                          [&]( const auto& u ) { return u.start == word.start; } );
+        for( const auto& statement : m_holders[h].kept->takeChanges( m_now ) ) {
+            const auto it =
+                std::find_if( m_upstreams.begin(), m_upstreams.end(),
+                              [&]( const auto& u ) { return u.start == statement.start; } );
             const auto u = static_cast<std::size_t>( it - m_upstreams.begin() );
             for( std::size_t n = 0; n < m_gateways.size(); ++n ) {
                 if( sees( m_gateways[n], h ) ) {
-                    at( m_now + delay(), [this, n, u, word] {
-                        decide::takeWord( m_gateways[n].limits[u].known, word, m_now );
+                    at( m_now + delay(), [this, n, u, statement] {
+                        decide::applyStatement( m_gateways[n].limits[u].known, statement, m_now );
                     } );
                 }
             }
@@ -344,15 +345,15 @@
             const auto period = std::chrono::duration_cast<MonoTime::duration>(
                 std::chrono::duration<double>( m_load.gateways / perS ) );
             const auto shift = std::chrono::duration_cast<MonoTime::duration>(
-                period * gateway.limits[u].turns.phase() );
+                period * gateway.limits[u].sendSchedule.phase() );
             const auto number = [&]( MonoTime time ) {
                 return ( time.time_since_epoch() + shift ) / period;
             };
             goes = number( m_now ) > number( gateway.spent[u] );
             gateway.spent[u] = goes ? m_now : gateway.spent[u];
         } else {
-            goes = decide::followLimit( gateway.limits[u], std::nullopt, m_load.gateways, m_now,
-                                        m_now )
+            goes = decide::applyLimitAnswer( gateway.limits[u], std::nullopt, m_load.gateways,
+                                             m_now, m_now )
                        .maySend();
         }
         if( goes ) {
@@ -387,8 +388,8 @@
             }
         };
         at( m_now + askTime, [end] { end( std::nullopt ); } );
-        decide::LimitAsk question;
-        question.word = decide::wordOf( start, gateway.limits[u].known, m_now );
+        decide::LimitRequest question;
+        question.statement = decide::statementOf( start, gateway.limits[u].known, m_now );
         if( !sees( gateway, h ) ) {
             return;
         }
@@ -406,7 +407,7 @@
                  const std::optional<decide::LimitAnswer>& answer, MonoTime asked ) {
         auto& gateway = m_gateways[request->gateway];
         const auto decision =
-            decide::followLimit( gateway.limits[u], answer, m_load.gateways, asked, m_now );
+            decide::applyLimitAnswer( gateway.limits[u], answer, m_load.gateways, asked, m_now );
         if( decision.maySend() ) {
             send( request, u );
         } else {
--- a/tests/replay/many_gateways.tests.cpp
+++ b/tests/replay/many_gateways.tests.cpp
@@ -37,7 +37,7 @@
 
 struct Kind {
     double perS = 0;
-    std::int64_t freshTokens = 0;
+    std::int64_t uncachedTokens = 0;
     int events = 0;
 };
 const std::vector<Kind> kinds = { { 5, 826, 32 }, { 3, 2890, 6 }, { 0.5, 9190, 6 } };
@@ -52,12 +52,12 @@
             if( time >= lengthMs ) {
                 break;
             }
-            out.push_back( { 0, time, kind.freshTokens, kind.events } );
+            out.push_back( { 0, time, kind.uncachedTokens, kind.events } );
         }
     }
     for( int n = 0; n < crowd; ++n ) {
         const auto& kind = kinds[static_cast<std::size_t>( n ) % kinds.size()];
-        out.push_back( { 0, crowdAtMs + n * 0.2, kind.freshTokens, kind.events } );
+        out.push_back( { 0, crowdAtMs + n * 0.2, kind.uncachedTokens, kind.events } );
     }
     std::sort( out.begin(), out.end(),
                []( const auto& a, const auto& b ) { return a.arrivedMs < b.arrivedMs; } );
@@ -68,7 +68,7 @@
 }
 
 double workMs( const EmulatedRequest& request ) {
-    return static_cast<double>( request.freshTokens ) * EngineShape{}.readMsPerToken;
+    return static_cast<double>( request.uncachedTokens ) * EngineShape{}.readMsPerToken;
 }
 
 struct Outcome {
@@ -132,10 +132,10 @@
     std::map<std::uint64_t, EmulatedRequest> waiting;
     std::size_t refused = 0;
     const auto pass = [&]( double time ) {
-        for( const auto& it : gate.takeDue( at( time ) ) ) {
+        for( const auto& it : gate.takeAdmitted( at( time ) ) ) {
             engine.send( waiting.at( it.key ) );
         }
-        refused += gate.takeLate( at( time ) ).size();
+        refused += gate.takeExpired( at( time ) ).size();
     };
     double reportAt = 0;
     const auto advance = [&]( double from, double until ) {
@@ -152,9 +152,9 @@
     for( const auto& it : arrivals( seed ) ) {
         advance( time, it.arrivedMs );
         time = it.arrivedMs;
-        sidecar::PromptAsk ask;
+        sidecar::PromptRequest ask;
         ask.key = it.key;
-        ask.prompt.tokens = it.freshTokens;
+        ask.prompt.tokens = it.uncachedTokens;
         ask.prompt.msPerToken = EngineShape{}.readMsPerToken;
         ask.prompt.goalMs = static_cast<std::int64_t>( goalMs - workMs( it ) - 120 );
         ask.since = at( time );
--- a/tests/replay/poison_world.cpp
+++ b/tests/replay/poison_world.cpp
@@ -2,9 +2,9 @@
 #include "replay/poison_world.hpp"
 
 #include "coursehead/kernel/random.hpp"
-#include "decide/poison_book.hpp"
+#include "decide/completed_runs.hpp"
+#include "decide/poison_counter.hpp"
 #include "decide/quarantine_list.hpp"
-#include "decide/whole_runs.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -52,14 +52,14 @@
 
 struct Gateway {
     explicit Gateway( double enough ) : book( enough ) {}
-    decide::PoisonBook book;
+    decide::PoisonCounter book;
     decide::QuarantineList quarantines;
-    decide::WholeRuns whole;
+    decide::CompletedRuns whole;
 };
 
 struct Holder {
     explicit Holder( double enough ) : book( enough ) {}
-    decide::PoisonBook book;
+    decide::PoisonCounter book;
     decide::QuarantineList quarantines;
     bool reached = true;
 };
@@ -222,7 +222,7 @@
 
     void end( Engine& engine, bool byPoison ) {
         engine.up = false;
-        std::map<int, std::vector<decide::BrokenRun>> seen; // by gateway
+        std::map<int, std::vector<decide::InterruptedRun>> seen; // by gateway
         for( const auto& [key, run] : std::exchange( engine.runs, {} ) ) {
             m_out.broken += run.poison ? 0 : 1;
             if( run.poison && byPoison ) {
@@ -231,7 +231,7 @@
                     ends.third = m_now;
                 }
             }
-            const bool proven = m_now - run.began > decide::provenAfter + 100ms;
+            const bool proven = m_now - run.began > decide::longRunTime + 100ms;
             seen[run.gateway].push_back( { run.content, proven ? m_load.proven : 1.0, 0 } );
             const Run again = run;
             at( m_now + beforeRetry, [this, again] { send( again ); } );
@@ -246,7 +246,7 @@
     }
 
     void tell( int number, const std::string& upstream,
-               const std::vector<decide::BrokenRun>& runs ) {
+               const std::vector<decide::InterruptedRun>& runs ) {
         if( m_load.way == PoisonWay::none ) {
             return;
         }
@@ -261,7 +261,7 @@
         }
         std::set<std::size_t> told;
         for( const auto& it : runs ) {
-            if( gateway.whole.forgive( it.fingerprint ) ) {
+            if( gateway.whole.consume( it.fingerprint ) ) {
                 continue;
             }
             if( const auto own = gateway.book.note( it, upstream, m_now ) ) {
@@ -271,7 +271,7 @@
             if( m_load.way != PoisonWay::shared ) {
                 continue;
             }
-            for( const auto n : decide::holdersOf( it.fingerprint, names ) ) {
+            for( const auto n : decide::poisonHolders( it.fingerprint, names ) ) {
                 told.insert( reached[n] );
                 const auto run = it;
                 const auto holder = reached[n];
@@ -282,7 +282,7 @@
         m_out.messages += static_cast<int>( told.size() );
     }
 
-    void count( Holder& holder, const decide::BrokenRun& run, const std::string& upstream ) {
+    void count( Holder& holder, const decide::InterruptedRun& run, const std::string& upstream ) {
         if( holder.quarantines.left( run.fingerprint, m_now ).count() > 0 ) {
             return;
         }
--- a/tests/replay/quota_world.cpp
+++ b/tests/replay/quota_world.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 using decide::QuotaAnswer;
-using decide::QuotaAsk;
-using decide::QuotaNews;
+using decide::QuotaRequest;
 using decide::QuotaReturn;
+using decide::QuotaUpdate;
 
 constexpr Millis step{ 5 };
 constexpr Millis lookEvery{ 100 };
@@ -41,7 +41,7 @@
 
 struct Gateway {
     std::string name;
-    std::unique_ptr<decide::QuotaBook> book;
+    std::unique_ptr<decide::GatewayQuotas> book;
     std::vector<MonoTime> heard; //!< by holder
     std::vector<MonoTime> up;    //!< when it reaches each holder
     std::set<int> told;
@@ -60,7 +60,7 @@
     bool frozen = false;
 };
 
-using Body = std::variant<QuotaNews, QuotaAsk, QuotaAnswer, QuotaReturn, std::monostate>;
+using Body = std::variant<QuotaUpdate, QuotaRequest, QuotaAnswer, QuotaReturn, std::monostate>;
 struct Message {
     MonoTime due;
     int gateway = 0;
@@ -128,7 +128,7 @@
                 m_random.unit() * static_cast<double>( m_load.connectOver.count() );
             gateway.up.push_back( m_now + Millis( static_cast<std::int64_t>( after ) ) );
         }
-        gateway.book = std::make_unique<decide::QuotaBook>( m_rule );
+        gateway.book = std::make_unique<decide::GatewayQuotas>( m_rule );
         gateway.book->setRates( 1, std::vector{ m_rate } );
         gateway.heard.assign( m_holders.size(), MonoTime{} );
         gateway.told.clear();
@@ -171,13 +171,13 @@
     void take( Message& message ) {
         auto& gateway = m_gateways[static_cast<std::size_t>( message.gateway )];
         auto& holder = m_holders[static_cast<std::size_t>( message.holder )];
-        if( const auto* news = std::get_if<QuotaNews>( &message.body ) ) {
-            holder.kept->takeNews( *news, m_now );
-        } else if( const auto* ask = std::get_if<QuotaAsk>( &message.body ) ) {
+        if( const auto* news = std::get_if<QuotaUpdate>( &message.body ) ) {
+            holder.kept->takeUpdate( *news, m_now );
+        } else if( const auto* ask = std::get_if<QuotaRequest>( &message.body ) ) {
             const auto answer = holder.kept->ask( gateway.name, *ask, m_now );
             send( message.gateway, message.holder, false, answer );
         } else if( const auto* back = std::get_if<QuotaReturn>( &message.body ) ) {
-            holder.kept->takeBack( *back, m_now );
+            holder.kept->acceptReturn( *back, m_now );
         } else {
             gateway.heard[static_cast<std::size_t>( message.holder )] = m_now;
             if( const auto* answer = std::get_if<QuotaAnswer>( &message.body ) ) {
@@ -198,7 +198,7 @@
         if( answer.granted < request.units ) {
             return;
         }
-        gateway.book->keep( organisation, answer.granted - request.units, request.asked );
+        gateway.book->addGrant( organisation, answer.granted - request.units, request.asked );
         serve( request, m_now + Millis( answer.waitMs ) );
     }
 
@@ -257,9 +257,9 @@
         }
         m_out.asked += units;
         m_asked.push_back( { m_now, units } );
-        QuotaAsk whole;
+        QuotaRequest whole;
         whole.needed = units;
-        whole.wished = units;
+        whole.preferred = units;
         m_out.allowed += decide::take( m_ideal, m_rate, whole, m_now ).units;
         gateway.waiting.push_back( { units, m_now, {}, 0 } );
     }
@@ -271,10 +271,10 @@
             auto rate = m_rate;
             rate.perS /= m_load.gateways;
             rate.burst /= m_load.gateways;
-            QuotaAsk ask;
+            QuotaRequest ask;
             ask.needed = request.units;
-            ask.wished = request.units;
-            ask.patienceMs = patience.count();
+            ask.preferred = request.units;
+            ask.maxWaitMs = patience.count();
             const auto grant = decide::take( gateway.own, rate, ask, m_now );
             if( grant.units > 0 ) {
                 serve( request, m_now + grant.wait );
@@ -293,12 +293,12 @@
         if( first && !holder.empty() ) {
             request.number = ++gateway.lastNumber;
             request.asked = m_now;
-            QuotaAsk ask;
+            QuotaRequest ask;
             ask.number = request.number;
             ask.organisation = organisation;
             ask.needed = request.units;
-            ask.wished = gateway.book->wishFor( organisation, request.units, m_now );
-            ask.patienceMs = patience.count();
+            ask.preferred = gateway.book->amountToRequest( organisation, request.units, m_now );
+            ask.maxWaitMs = patience.count();
             ++m_out.messages;
             send( n, indexOf( holder ), true, ask );
             return false;
@@ -341,7 +341,7 @@
         auto& gateway = m_gateways[static_cast<std::size_t>( n )];
         for( int h = 0; h < m_load.holders; ++h ) {
             const auto& heard = gateway.heard[static_cast<std::size_t>( h )];
-            auto news = gateway.book->newsFor( m_holders[static_cast<std::size_t>( h )].name );
+            auto news = gateway.book->updateFor( m_holders[static_cast<std::size_t>( h )].name );
             const bool concerns = !news.rates.empty() || gateway.told.contains( h );
             if( !concerns || heard == MonoTime{} || m_now - heard > silence ) {
                 continue;
@@ -349,7 +349,7 @@
             news.rates.empty() ? void( gateway.told.erase( h ) ) : void( gateway.told.insert( h ) );
             news.gateway = gateway.name;
             send( n, h, true, news );
-            gateway.book->noteTold( m_holders[static_cast<std::size_t>( h )].name, m_now );
+            gateway.book->noteUpdateSent( m_holders[static_cast<std::size_t>( h )].name, m_now );
         }
     }
 
--- a/tests/replay/quota_world.hpp
+++ b/tests/replay/quota_world.hpp
@@ -3,7 +3,7 @@
 #define COURSEHEAD_REPLAY_QUOTA_WORLD_HPP_INCLUDED
 
 #include "coursehead/kernel/random.hpp"
-#include "decide/quota_book.hpp"
+#include "decide/gateway_quotas.hpp"
 #include "decide/quota_holder.hpp"
 
 #include <functional>
--- a/tests/replay/quotas.tests.cpp
+++ b/tests/replay/quotas.tests.cpp
@@ -104,19 +104,19 @@
     const MonoTime now{ 1000s };
     QuotaHolder holder;
     holder.setRule( rule );
-    QuotaNews news;
+    QuotaUpdate news;
     news.gateway = "g1";
     news.rates = { { "o", 29000, 29000 } };
-    holder.takeNews( news, now );
-    QuotaAsk ask;
+    holder.takeUpdate( news, now );
+    QuotaRequest ask;
     ask.organisation = "o";
     ask.needed = 200;
-    ask.wished = 200;
+    ask.preferred = 200;
     CHECK( holder.ask( "g1", ask, now + 900ms ).granted >= 200 );
     CHECK( holder.ask( "g1", ask, now + 1800ms ).granted >= 200 );
     // Too late to belong: no word on the limit, and then it belongs again.
     CHECK_FALSE( holder.ask( "g1", ask, now + 5s ).known );
-    CHECK( holder.partOf( "o", now + 5s ) == 1.0 );
+    CHECK( holder.shareOf( "o", now + 5s ) == 1.0 );
     CHECK( holder.ask( "g1", ask, now + 5100ms ).granted >= 200 );
     CHECK_FALSE( holder.ask( "g2", ask, now + 5s ).known );
     ask.organisation = "other";
@@ -142,15 +142,15 @@
     const MonoTime now{ 1000s };
     QuotaHolder holder;
     holder.setRule( rule );
-    QuotaNews news;
+    QuotaUpdate news;
     news.gateway = "g1";
     news.gateways = 115;
     news.rates = { { "o", 29000, 29000 } };
-    holder.takeNews( news, now );
-    QuotaAsk ask;
+    holder.takeUpdate( news, now );
+    QuotaRequest ask;
     ask.organisation = "o";
     ask.needed = 9190;
-    ask.wished = 9190;
+    ask.preferred = 9190;
     // The first takes what there is, and a debt with it.
     holder.ask( "g1", ask, now + 10ms );
     const auto refused = holder.ask( "g1", ask, now + 20ms );
--- a/tests/replay/replicas.tests.cpp
+++ b/tests/replay/replicas.tests.cpp
@@ -50,10 +50,10 @@
         for( std::size_t n = 0; n < own.size(); ++n ) {
             ModelLoad load;
             load.workPerS = known == Known::sum ? told : own[n] * gateways;
-            load.toldAt = now;
+            load.reportedAt = now;
             load.copies = copies + out;
             load.lastReplica = last[n];
-            if( wantsReplica( load, gateways, random.unit(), now ) ) {
+            if( shouldAddReplica( load, gateways, random.unit(), now ) ) {
                 last[n] = now;
                 ++out;
             }
@@ -89,9 +89,9 @@
     ModelLoad load;
     load.workPerS = 5000;
     load.copies = 1;
-    load.toldAt = MonoTime{ std::chrono::seconds( 100 ) };
-    CHECK( wantsReplica( load, 1, 0, load.toldAt + Millis( 1000 ) ) );
-    CHECK_FALSE( wantsReplica( load, 1, 0, load.toldAt + Millis( 2000 ) ) );
+    load.reportedAt = MonoTime{ std::chrono::seconds( 100 ) };
+    CHECK( shouldAddReplica( load, 1, 0, load.reportedAt + Millis( 1000 ) ) );
+    CHECK_FALSE( shouldAddReplica( load, 1, 0, load.reportedAt + Millis( 2000 ) ) );
     load.copies = 0;
-    CHECK_FALSE( wantsReplica( load, 1, 0, load.toldAt ) );
+    CHECK_FALSE( shouldAddReplica( load, 1, 0, load.reportedAt ) );
 }
--- a/tests/soak/runner.cpp
+++ b/tests/soak/runner.cpp
@@ -423,7 +423,7 @@
     const Json available{ { "inMemory", Json::array() }, { "onDisk", { "m0", "m1", "m2" } } };
     return Json{ { "stage", "prefill_decode" },
                  { "models", models },
-                 { "busySlots", life.ordering },
+                 { "busySlots", life.orderInProgress },
                  { "sequence", life.sequence },
                  { "queuedRequests", 0 },
                  { "activeRequests", life.runs.size() },
@@ -473,7 +473,8 @@
     if( there == load ) {
         return whole( 200, "", "" );
     }
-    if( life.ordering || order.value( "expectedRevision", life.sequence ) != life.sequence ) {
+    if( life.orderInProgress ||
+        order.value( "expectedRevision", life.sequence ) != life.sequence ) {
         return whole( 409, "", "" );
     }
     if( !adapter.empty() && held == life.models.end() ) {
@@ -482,7 +483,7 @@
     checkOrder( life, order );
     ++life.sequence;
     m_record.count( "orders" );
-    life.ordering = true;
+    life.orderInProgress = true;
     return whole( 202, "", "" );
 }
 
@@ -504,7 +505,7 @@
     } else if( life->models.contains( model ) ) {
         life->models[model].erase( adapter );
     }
-    life->ordering = false;
+    life->orderInProgress = false;
 }
 
 } // namespace coursehead::soak
--- a/tests/soak/runner.hpp
+++ b/tests/soak/runner.hpp
@@ -91,7 +91,7 @@
         std::map<std::string, int> runs;                     //!< by request id
         std::map<std::string, int> runEvents;
         std::uint64_t sequence = 0;
-        bool ordering = false;
+        bool orderInProgress = false;
         std::string holder;
         MonoTime orderedAt;
         std::uint64_t beats = 0;
--- a/tests/unit/admission.tests.cpp
+++ b/tests/unit/admission.tests.cpp
@@ -21,34 +21,34 @@
     net::asio::io_context context{ 1 };
     bool there = true;
     std::vector<Answer> answers;
-    std::vector<std::uint64_t> missing;
-    std::vector<std::uint64_t> given;
+    std::vector<std::uint64_t> notResident;
+    std::vector<std::uint64_t> admitted;
     Admission admission{ context, host() };
 
     Fixture() { admission.setEngine( 100000, 600ms ); }
 
-    Admission::Host host() {
-        Admission::Host out;
-        out.isThere = [this]( const Want& ) {
+    Admission::Callbacks host() {
+        Admission::Callbacks out;
+        out.isResident = [this]( const RequiredModel& ) {
             return there;
         };
-        out.answer = [this]( const Question& question, EnsureOutcome outcome, Millis, double ) {
-            answers.push_back( { question.key, outcome } );
+        out.answer = [this]( const PendingEnsure& ensure, EnsureOutcome outcome, Millis, double ) {
+            answers.push_back( { ensure.key, outcome } );
         };
-        out.missing = [this]( const Question& question ) {
-            missing.push_back( question.key );
+        out.notResident = [this]( const PendingEnsure& ensure ) {
+            notResident.push_back( ensure.key );
         };
-        out.given = [this]( const Question& question ) {
-            given.push_back( question.key );
+        out.admitted = [this]( const PendingEnsure& ensure ) {
+            admitted.push_back( ensure.key );
         };
         return out;
     }
 
     //! A prompt of 400 ms of reading: one fits into a gap target.
-    static Question question( std::uint64_t key, Millis goal ) {
-        Question out;
+    static PendingEnsure ensure( std::uint64_t key, Millis goal ) {
+        PendingEnsure out;
         out.key = key;
-        out.want.model = "m";
+        out.required.model = "m";
         out.prompt.tokens = 4000;
         out.prompt.msPerToken = 0.1;
         out.prompt.goalMs = goal.count();
@@ -62,24 +62,24 @@
 
 TEST_CASE( "A prompt that an idle engine can read gets leave at once", "[sidecar][admission]" ) {
     Fixture f;
-    f.admission.admit( Fixture::question( 1, 500ms ) );
+    f.admission.admit( Fixture::ensure( 1, 500ms ) );
     REQUIRE( f.answers.size() == 1 );
     CHECK( f.answers[0].outcome == EnsureOutcome::ready );
-    CHECK( f.given == std::vector<std::uint64_t>{ 1 } );
+    CHECK( f.admitted == std::vector<std::uint64_t>{ 1 } );
 }
 
 TEST_CASE( "A prompt that can't start in time is told so at once", "[sidecar][admission]" ) {
     Fixture f;
-    f.admission.admit( Fixture::question( 1, 500ms ) );
-    f.admission.admit( Fixture::question( 2, 100ms ) );
+    f.admission.admit( Fixture::ensure( 1, 500ms ) );
+    f.admission.admit( Fixture::ensure( 2, 100ms ) );
     REQUIRE( f.answers.size() == 2 );
-    CHECK( f.answers[1].outcome == EnsureOutcome::later );
+    CHECK( f.answers[1].outcome == EnsureOutcome::tooLate );
 }
 
 TEST_CASE( "When the engine is lost all that wait hear it at once", "[sidecar][admission]" ) {
     Fixture f;
-    f.admission.admit( Fixture::question( 1, 500ms ) );
-    f.admission.admit( Fixture::question( 2, 60s ) );
+    f.admission.admit( Fixture::ensure( 1, 500ms ) );
+    f.admission.admit( Fixture::ensure( 2, 60s ) );
     REQUIRE( f.answers.size() == 1 );
     f.admission.failAll();
     REQUIRE( f.answers.size() == 2 );
@@ -92,18 +92,18 @@
            "[sidecar][admission]" ) {
     Fixture f;
     f.there = false;
-    f.admission.admit( Fixture::question( 1, 500ms ) );
+    f.admission.admit( Fixture::ensure( 1, 500ms ) );
     CHECK( f.answers.empty() );
-    CHECK( f.missing == std::vector<std::uint64_t>{ 1 } );
+    CHECK( f.notResident == std::vector<std::uint64_t>{ 1 } );
 }
 
 TEST_CASE( "A cancel that names nothing does no harm", "[sidecar][admission]" ) {
     Fixture f;
     f.admission.forget( 77 );
-    f.admission.admit( Fixture::question( 1, 500ms ) );
+    f.admission.admit( Fixture::ensure( 1, 500ms ) );
     f.admission.forget( 1 );
     f.admission.forget( 1 );
-    f.admission.admit( Fixture::question( 2, 500ms ) );
+    f.admission.admit( Fixture::ensure( 2, 500ms ) );
     CHECK( f.answers.size() == 2 );
     CHECK( f.answers[1].outcome == EnsureOutcome::ready );
 }
--- a/tests/unit/announcement.tests.cpp
+++ b/tests/unit/announcement.tests.cpp
@@ -44,7 +44,7 @@
     CHECK( refusal( { "2", "5", "1" } ).announcement.backoff == 5000ms );
     CHECK( refusal( { "3" }, 429 ).announcement.backoff == 3000ms );
     CHECK( refusal( { "3" }, 503, true ).announcement.backoff == 3000ms );
-    CHECK( refusal( { "1000000000" } ).announcement.backoff == longestBackoff );
+    CHECK( refusal( { "1000000000" } ).announcement.backoff == maxBackoff );
     CHECK( refusal( {} ).announcement.backoff == std::nullopt );
 }
 
@@ -74,7 +74,7 @@
     };
     CHECK( cold( "1500" ).announcement.cold == 1500ms );
     CHECK( cold( "0" ).announcement.cold == 0ms );
-    CHECK( cold( "999999999999" ).announcement.cold == longestCold );
+    CHECK( cold( "999999999999" ).announcement.cold == maxColdTime );
     CHECK( platform::readAnswerHead( 200, {} ).announcement.cold == std::nullopt );
     for( const auto* it : { "-5", "", "long", "1.5" } ) {
         INFO( it );
@@ -99,7 +99,7 @@
            "[announcement][limit][platform]" ) {
     const auto perS = []( std::initializer_list<const char*> limits ) {
         const auto said = limited( limits ).announcement;
-        CHECK( said.limit == LimitSaid::named );
+        CHECK( said.limit == LimitAnnouncement::named );
         return said.limitPerS;
     };
     CHECK( perS( { "1.4" } ) == 1.4 );
@@ -109,7 +109,7 @@
     CHECK( perS( { "3", "1.5", "2" } ) == 1.5 );
     CHECK( perS( { "many", "2" } ) == 2 );
     CHECK( perS( { "2", "many" } ) == 2 );
-    CHECK( limited( {} ).announcement.limit == LimitSaid::none );
+    CHECK( limited( {} ).announcement.limit == LimitAnnouncement::none );
 }
 
 TEST_CASE( "A limit that can't be read is none that is named, and none that has ended",
@@ -117,7 +117,7 @@
     for( const auto* it : { "-1", "few", "", "nan", "inf", "1.4 a second", "0x3", "1e999" } ) {
         INFO( it );
         const auto head = limited( { it } );
-        CHECK( head.announcement.limit == LimitSaid::unreadable );
+        CHECK( head.announcement.limit == LimitAnnouncement::unreadable );
         CHECK( head.badField == std::string( "Server-Limit: " ) + it );
     }
 }
@@ -161,7 +161,7 @@
 
 TEST_CASE( "A back-off lasts until its end, whatever answers that crossed it say",
            "[announcement]" ) {
-    Announcements known;
+    AnnouncedState known;
     CHECK( known.backoffLeft( start ) == 0ms );
     known.take( asking( 3000ms ), start );
     CHECK( known.backoffLeft( start + 1s ) == 2000ms );
@@ -175,13 +175,13 @@
 }
 
 TEST_CASE( "Time that the VM was suspended counts as time of a back-off", "[announcement]" ) {
-    Announcements known;
+    AnnouncedState known;
     known.take( asking( 3000ms ), start );
     CHECK( known.backoffLeft( start + 30s ) == 0ms );
 }
 
 TEST_CASE( "What has said that it leaves does not stay", "[announcement]" ) {
-    Announcements known;
+    AnnouncedState known;
     Announcement leaves;
     leaves.leaving = true;
     known.take( leaves, start );
--- a/tests/unit/exchange.tests.cpp
+++ b/tests/unit/exchange.tests.cpp
@@ -65,7 +65,7 @@
     RandomSource random{ 1 };
     metrics::Metrics metrics;
     Fleet fleet{ context, random, FleetSettings{ "vm", "hall", 1, 5000ms } };
-    Shared shared{ context, fleet, random, metrics, {}, nullptr, {} };
+    SharedState shared{ context, fleet, random, metrics, {}, nullptr, {} };
     ScriptedUpstream first{ context };
     ScriptedUpstream second{ context };
     net::Acceptor front = net::listen( context, "127.0.0.1", 0 );
@@ -436,7 +436,7 @@
            "[gateway][exchange][organisation]" ) {
     Path path;
     path.shared.table = keyedTable();
-    path.shared.current = false;
+    path.shared.configurationUpToDate = false;
     const auto got =
         path.ask( "POST", "/unsafe/a", "Content-Length: 0\r\nAuthorization: Bearer k9\r\n" );
     CHECK( startsWith( got, "HTTP/1.1 503" ) );
@@ -519,10 +519,10 @@
 TEST_CASE( "A request waits for the configuration only while the process has just started",
            "[gateway][patience]" ) {
     const MonoTime started{ 1000s };
-    CHECK( startWaitEnd( started + 100ms, started ) == started + 600ms );
-    CHECK( startWaitEnd( started + 1200ms, started ) == started + 1500ms );
+    CHECK( startupWaitEnd( started + 100ms, started ) == started + 600ms );
+    CHECK( startupWaitEnd( started + 1200ms, started ) == started + 1500ms );
     // Without a store: refused at once.
-    CHECK( startWaitEnd( started + 5s, started ) < started + 5s );
+    CHECK( startupWaitEnd( started + 5s, started ) < started + 5s );
 }
 
 TEST_CASE( "While the gateway leaves, answers close their connection", "[gateway][exchange]" ) {
--- a/tests/unit/gateway.tests.cpp
+++ b/tests/unit/gateway.tests.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "coursehead/kernel/random.hpp"
+#include "gateway/client_timeouts.hpp"
 #include "gateway/event_stream.hpp"
 #include "gateway/health.hpp"
 #include "gateway/http_text.hpp"
 #include "gateway/messages.hpp"
 #include "gateway/node.hpp"
 #include "gateway/pace.hpp"
-#include "gateway/patience.hpp"
 #include "gateway/prefix_cache.hpp"
 #include "gateway/reading_budget.hpp"
 #include "gateway/registry.hpp"
@@ -84,7 +84,7 @@
         if( newFirst ) {
             std::swap( listed[0], listed[1] );
         }
-        registry.list( listed, now );
+        registry.applyListing( listed, now );
         REQUIRE( registry.members().size() == 1 );
         CHECK( registry.members().contains( "new" ) );
     }
@@ -107,7 +107,7 @@
     registry.put( upstream( "lost", 81, 1 ), start );
     registry.storeReachable( false, start + 10s );
     registry.storeReachable( true, start + 20s );
-    registry.list( {}, start + 20s );
+    registry.applyListing( {}, start + 20s );
     registry.expire( start + 21s );
     CHECK( registry.members().size() == 2 );
     registry.put( upstream( "back", 80, 1 ), start + 21s );
@@ -138,7 +138,7 @@
         const auto steps = *rc::gen::container<std::vector<int>>( rc::gen::inRange( 0, 400 ) );
         for( const int step : steps ) {
             now += Millis( step );
-            window.countFirst( now );
+            window.countFirstSend( now );
             firsts.push_back( now );
             if( window.take( share, now ) ) {
                 taken.push_back( now );
@@ -159,33 +159,33 @@
     stream.timeout = 12000ms;
     stream.goal = 400ms;
     stream.gapTarget = 250ms;
-    CHECK( patienceOf( stream, 12000ms ).firstEvent == 2000ms );
-    CHECK( patienceOf( stream, 1500ms ).firstEvent == 1500ms );
+    CHECK( clientTimeoutsOf( stream, 12000ms ).firstEvent == 2000ms );
+    CHECK( clientTimeoutsOf( stream, 1500ms ).firstEvent == 1500ms );
     stream.goal = 800ms;
-    CHECK( patienceOf( stream, 12000ms ).firstEvent == 3200ms );
+    CHECK( clientTimeoutsOf( stream, 12000ms ).firstEvent == 3200ms );
     stream.gapTarget = 600ms;
-    CHECK( patienceOf( stream, 12000ms ).firstEvent == 4800ms );
-    CHECK( patienceOf( stream, 12000ms ).pause == 4800ms );
-    CHECK( patienceOf( stream, 20000ms ).whole == 12000ms );
+    CHECK( clientTimeoutsOf( stream, 12000ms ).firstEvent == 4800ms );
+    CHECK( clientTimeoutsOf( stream, 12000ms ).pause == 4800ms );
+    CHECK( clientTimeoutsOf( stream, 20000ms ).completeAnswer == 12000ms );
 }
 
 TEST_CASE( "The client of a whole answer waits until its deadline or the route's timeout",
            "[gateway][patience]" ) {
-    auto whole = route( "r", "/" );
-    whole.timeout = 2500ms;
-    whole.goal = 150ms;
-    CHECK( patienceOf( whole, std::nullopt ).firstEvent == 2500ms );
-    CHECK( patienceOf( whole, 600ms ).firstEvent == 600ms );
-    CHECK( patienceOf( whole, 600ms ).pause == 0ms );
+    auto completeAnswer = route( "r", "/" );
+    completeAnswer.timeout = 2500ms;
+    completeAnswer.goal = 150ms;
+    CHECK( clientTimeoutsOf( completeAnswer, std::nullopt ).firstEvent == 2500ms );
+    CHECK( clientTimeoutsOf( completeAnswer, 600ms ).firstEvent == 600ms );
+    CHECK( clientTimeoutsOf( completeAnswer, 600ms ).pause == 0ms );
 }
 
 TEST_CASE( "A request waits as long as its first event can still find the client",
            "[gateway][patience]" ) {
-    const Patience patience{ 2000ms, 2000ms, 12000ms };
-    CHECK( longestWait( patience, 50ms ) > 1500ms );
-    CHECK( longestWait( patience, 50ms ) < 1950ms );
-    CHECK( longestWait( patience, 400ms ) < longestWait( patience, 50ms ) );
-    CHECK( longestWait( patience, 5000ms ) == 0ms );
+    const ClientTimeouts patience{ 2000ms, 2000ms, 12000ms };
+    CHECK( maxWaitBeforeSend( patience, 50ms ) > 1500ms );
+    CHECK( maxWaitBeforeSend( patience, 50ms ) < 1950ms );
+    CHECK( maxWaitBeforeSend( patience, 400ms ) < maxWaitBeforeSend( patience, 50ms ) );
+    CHECK( maxWaitBeforeSend( patience, 5000ms ) == 0ms );
 }
 
 TEST_CASE( "Requests that wait for the same load share its grant, others take their turn",
@@ -214,8 +214,8 @@
         MonoTime engineFree;
         std::string upstream;
     };
-    std::vector<StoreGrants> grants( gateways,
-                                     StoreGrants( grantsAge ? window + storeGrantLife : window ) );
+    std::vector<StoreGrants> grants(
+        gateways, StoreGrants( grantsAge ? window + storeGrantLifetime : window ) );
     std::vector<std::optional<Waiting>> waiting( gateways );
     std::vector<MonoTime> begun;
     int serial = 0;
@@ -230,7 +230,7 @@
                     it = Waiting{ now, now + busy, upstream };
                 }
             }
-            if( it && grantsAge && now - it->granted > storeGrantLife ) {
+            if( it && grantsAge && now - it->granted > storeGrantLifetime ) {
                 grants[n].release( it->upstream, "m" );
                 it.reset();
             }
@@ -338,7 +338,7 @@
 }
 
 TEST_CASE( "Whole events are passed on, the rest waits", "[gateway][stream]" ) {
-    EventCutter cutter( std::nullopt );
+    EventStreamSplitter cutter( std::nullopt );
     std::string out;
     REQUIRE( cutter.feed( "id: 0\ndata: a\n\nid: 1\nda", out ) );
     CHECK( out == "id: 0\ndata: a\n\n" );
@@ -351,11 +351,11 @@
 
 TEST_CASE( "A stream that repeats or skips an event is not trusted", "[gateway][stream]" ) {
     std::string out;
-    EventCutter repeated( 4 );
+    EventStreamSplitter repeated( 4 );
     CHECK_FALSE( repeated.feed( "id: 4\ndata: a\n\n", out ) );
-    EventCutter skipped( 4 );
+    EventStreamSplitter skipped( 4 );
     CHECK_FALSE( skipped.feed( "id: 6\ndata: a\n\n", out ) );
-    EventCutter next( 4 );
+    EventStreamSplitter next( 4 );
     CHECK( next.feed( "id: 5\ndata: a\n\n", out ) );
 }
 
@@ -365,7 +365,7 @@
         for( int n = 0; n < 5; ++n ) {
             stream += "id: " + std::to_string( n ) + "\ndata: x\n\n";
         }
-        EventCutter cutter( std::nullopt );
+        EventStreamSplitter cutter( std::nullopt );
         std::string out;
         std::size_t at = 0;
         while( at < stream.size() ) {
@@ -382,14 +382,14 @@
     PrefixCache cache( 1000 );
     const auto first = prompt( { { 1, 100 }, { 2, 200 }, { 3, 50 } } );
     cache.insert( prefixKeys( first ), first );
-    CHECK( cache.kept( prefixKeys( first ), first ) == 350 );
+    CHECK( cache.cachedTokens( prefixKeys( first ), first ) == 350 );
     const auto sibling = prompt( { { 1, 100 }, { 2, 200 }, { 9, 70 } } );
-    CHECK( cache.kept( prefixKeys( sibling ), sibling ) == 300 );
+    CHECK( cache.cachedTokens( prefixKeys( sibling ), sibling ) == 300 );
     const auto other = prompt( { { 9, 100 }, { 2, 200 } } );
-    CHECK( cache.kept( prefixKeys( other ), other ) == 0 );
+    CHECK( cache.cachedTokens( prefixKeys( other ), other ) == 0 );
     auto adapted = first;
     adapted.adapter = "a1";
-    CHECK( cache.kept( prefixKeys( adapted ), adapted ) == 0 );
+    CHECK( cache.cachedTokens( prefixKeys( adapted ), adapted ) == 0 );
 }
 
 TEST_CASE( "The part unused longest gives way first, and a prompt's tail before its head",
@@ -399,8 +399,8 @@
     const auto second = prompt( { { 1, 100 }, { 3, 150 } } );
     cache.insert( prefixKeys( first ), first );
     cache.insert( prefixKeys( second ), second );
-    CHECK( cache.kept( prefixKeys( second ), second ) == 250 );
-    CHECK( cache.kept( prefixKeys( first ), first ) == 100 );
+    CHECK( cache.cachedTokens( prefixKeys( second ), second ) == 250 );
+    CHECK( cache.cachedTokens( prefixKeys( first ), first ) == 100 );
 }
 
 TEST_CASE( "The lowest cost is chosen, an avoided upstream only when nothing else is left",
@@ -466,21 +466,21 @@
 }
 
 TEST_CASE( "Messages between gateways and sidecars survive the wire", "[gateway][messages]" ) {
-    EngineNews news;
+    EngineUpdate news;
     news.gateway = "vm-1";
     news.configVersion = 4;
     news.spec = 99;
     const auto decoded = decode( encode( Message( news ) ) );
     REQUIRE( decoded );
-    CHECK( std::get<EngineNews>( *decoded ).spec == 99U );
-    CHECK( std::get<EngineNews>( *decoded ).configVersion == 4U );
+    CHECK( std::get<EngineUpdate>( *decoded ).spec == 99U );
+    CHECK( std::get<EngineUpdate>( *decoded ).configVersion == 4U );
     EngineSpec engine;
     engine.weightsMb = 220000;
     engine.models.push_back( { "m1", 65100, 12, 3, 3800ms, 760ms, 380ms } );
     const auto text = encodeSpec( engine );
     const auto described = decode( text->message );
     REQUIRE( described );
-    const auto& got = std::get<SpecNews>( *described );
+    const auto& got = std::get<SpecAnswer>( *described );
     CHECK( got.key == text->key );
     CHECK( got.engine.models[0].diskLoad == 760ms );
     CHECK( got.engine.weightsMb == 220000 );
@@ -530,7 +530,7 @@
 TEST_CASE( "Streams that pause elsewhere speak against an upstream", "[gateway][selection]" ) {
     Candidate pausing;
     pausing.workMs = 20;
-    pausing.latePauses = 0.7;
+    pausing.latePauseShare = 0.7;
     Candidate calm;
     calm.workMs = 20;
     calm.backlogMs = 300;
@@ -554,7 +554,7 @@
 }
 
 TEST_CASE( "News of the store survive their encoding", "[gateway][messages]" ) {
-    StoreNews news;
+    StoreUpdate news;
     news.part = StorePart::upstreams;
     news.position = { 4, 17 };
     auto leaving = upstream( "u1", 80, 3 );
@@ -565,7 +565,7 @@
     news.gone = { "u2" };
     const auto decoded = decode( encode( Message( news ) ) );
     REQUIRE( decoded );
-    const auto& out = std::get<StoreNews>( *decoded );
+    const auto& out = std::get<StoreUpdate>( *decoded );
     CHECK( out.position == news.position );
     CHECK( out.gone == news.gone );
     REQUIRE( out.upstreams.size() == 1U );
@@ -591,14 +591,14 @@
     report.residents = { { "m", {} } };
     report.load.sentParts = sender.sentParts;
     other.takeReport( report, start );
-    CHECK( other.prefixes.kept( keys, generation ) == 5000 );
+    CHECK( other.prefixes.cachedTokens( keys, generation ) == 5000 );
     SECTION( "a report of the load alone keeps them" ) {
         other.takeLoad( EngineLoad{}, start + 1s );
-        CHECK( other.prefixes.kept( keys, generation ) == 5000 );
+        CHECK( other.prefixes.cachedTokens( keys, generation ) == 5000 );
     }
     SECTION( "without the model nothing is kept" ) {
         other.takeReport( SidecarReport{}, start + 1s );
-        CHECK( other.prefixes.kept( keys, generation ) == 0 );
+        CHECK( other.prefixes.cachedTokens( keys, generation ) == 0 );
     }
 }
 
@@ -610,10 +610,10 @@
     listed.id = "u1";
     Node node( listed, now );
     node.engine = std::make_shared<EngineSpec>();
-    CHECK_FALSE( node.awaitsReport( now ) );
+    CHECK_FALSE( node.awaitsFirstReport( now ) );
     node.sidecar = std::make_shared<SidecarLink>( context, "127.0.0.1", 1 );
-    CHECK( node.awaitsReport( now + 400ms ) );
-    CHECK_FALSE( node.awaitsReport( now + 600ms ) );
+    CHECK( node.awaitsFirstReport( now + 400ms ) );
+    CHECK_FALSE( node.awaitsFirstReport( now + 600ms ) );
     node.takeReport( SidecarReport{}, now );
-    CHECK_FALSE( node.awaitsReport( now + 10ms ) );
+    CHECK_FALSE( node.awaitsFirstReport( now + 10ms ) );
 }
--- a/tests/unit/halls.tests.cpp
+++ b/tests/unit/halls.tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
+#include "decide/allowed_regions.hpp"
 #include "decide/cold_gate.hpp"
 #include "decide/evacuation.hpp"
-#include "decide/homes.hpp"
 #include "gateway/fleet.hpp"
 #include "platform/wire.hpp"
 
@@ -52,7 +52,7 @@
         Configuration configuration;
         Service service;
         service.name = "s";
-        service.coldTime = 3000ms;
+        service.coldDuration = 3000ms;
         service.coldPerS = 6.5;
         configuration.services.emplace( "s", service );
         fleet.setConfiguration( std::make_shared<RouteTable>( std::move( configuration ) ), start );
@@ -61,10 +61,10 @@
         members.emplace( "ub", Member{ listed( "ub", "b" ), false } );
         fleet.sync( members, start );
     }
-    std::string chosen( MonoTime now, decide::Homes homes = {} ) {
-        Need need;
+    std::string chosen( MonoTime now, decide::AllowedRegions allowedRegions = {} ) {
+        RequestNeeds need;
         need.service = "s";
-        need.homes = homes;
+        need.allowedRegions = allowedRegions;
         const auto choice = fleet.choose( need, {}, now );
         return choice.node ? choice.node->upstream.id : "";
     }
@@ -87,8 +87,8 @@
     CHECK_FALSE( known.end( "a" ) );
     CHECK_FALSE( known.stopAt( "a" ) );
     // Within both bounds, whichever is the shorter one.
-    CHECK( decide::graceOf( { 5000ms, 1000ms } ) == 500ms );
-    CHECK( decide::graceOf( { 0ms, 4000ms } ) == 0ms );
+    CHECK( decide::evacuationGrace( { 5000ms, 1000ms } ) == 500ms );
+    CHECK( decide::evacuationGrace( { 0ms, 4000ms } ) == 0ms );
 }
 
 TEST_CASE( "Requests leave a hall that is emptied at once where they can, and for good at its stop",
@@ -292,7 +292,7 @@
         configured( R"(,"homeRegions":["north"])", R"(,"coldS":3.0,"coldPerS":6.5)" ), problem );
     REQUIRE( read );
     CHECK( read->routes[0].homeRegions == std::vector<std::string>{ "north" } );
-    CHECK( read->services.at( "s" ).coldTime == 3000ms );
+    CHECK( read->services.at( "s" ).coldDuration == 3000ms );
     CHECK( read->services.at( "s" ).coldPerS == 6.5 );
     CHECK_FALSE( platform::readConfiguration( configured( "", R"(,"coldPerS":-1)" ), problem ) );
     CHECK( problem.find( "services.s.coldPerS = -1" ) == 0 );
--- a/tests/unit/limit.tests.cpp
+++ b/tests/unit/limit.tests.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "decide/limit_book.hpp"
+#include "decide/gateway_limits.hpp"
 #include "decide/limit_holder.hpp"
-#include "decide/turns.hpp"
+#include "decide/send_schedule.hpp"
 #include "gateway/fleet.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,15 +16,15 @@
 constexpr MonoTime start{ 1000s };
 const std::string name = "u1#7";
 
-LimitWord word( double perS, std::int64_t namedMs = 0, std::int64_t noneMs = -1 ) {
-    return { name, perS, namedMs, noneMs };
+LimitStatement statement( double perS, std::int64_t namedAgoMs = 0, std::int64_t noneAgoMs = -1 ) {
+    return { name, perS, namedAgoMs, noneAgoMs };
 }
 
-LimitNews news( const std::string& gateway, int gateways, const LimitWord& said ) {
+LimitUpdate news( const std::string& gateway, int gateways, const LimitStatement& said ) {
     return { gateway, gateways, { said } };
 }
 
-LimitVerdict ask( LimitHolder& holder, const std::string& gateway, const LimitWord& said,
+LimitVerdict ask( LimitHolder& holder, const std::string& gateway, const LimitStatement& said,
                   MonoTime now ) {
     return holder.ask( gateway, { 1, said }, now ).verdict;
 }
@@ -34,8 +34,8 @@
 TEST_CASE( "A turn comes once in a period and lasts a second, each gateway's at its own time",
            "[limit][turns]" ) {
     constexpr double perS = 0.1;
-    Turns early( 0 );
-    Turns late( 0.5 );
+    SendSchedule early( 0 );
+    SendSchedule late( 0.5 );
     CHECK( early.wait( perS, start ) == 0ms );
     CHECK( early.wait( perS, start + 999ms ) == 0ms );
     CHECK( early.wait( perS, start + 2s ) == 8000ms );
@@ -47,19 +47,19 @@
 }
 
 TEST_CASE( "Turns of less than a second are a pause between sends", "[limit][turns]" ) {
-    Turns turns( 0.3 );
-    CHECK( turns.wait( 4, start ) == 0ms );
-    turns.take( start );
-    CHECK( turns.wait( 4, start + 100ms ) == 150ms );
-    CHECK( turns.wait( 4, start + 250ms ) == 0ms );
+    SendSchedule sendSchedule( 0.3 );
+    CHECK( sendSchedule.wait( 4, start ) == 0ms );
+    sendSchedule.take( start );
+    CHECK( sendSchedule.wait( 4, start + 100ms ) == 150ms );
+    CHECK( sendSchedule.wait( 4, start + 250ms ) == 0ms );
 }
 
 TEST_CASE( "Turns of any rate come to an end", "[limit][turns]" ) {
     for( const double perS : { -1.0, 0.0, 1e-300, 1e-9, 1e9, 1e308 } ) {
         INFO( perS );
-        Turns turns( 0.999 );
-        turns.take( start );
-        const auto wait = turns.wait( perS, start );
+        SendSchedule sendSchedule( 0.999 );
+        sendSchedule.take( start );
+        const auto wait = sendSchedule.wait( perS, start );
         CHECK( wait >= 0ms );
         CHECK( wait <= 24h );
     }
@@ -68,7 +68,7 @@
 TEST_CASE( "However many gateways take their turns, few come together", "[limit][turns]" ) {
     constexpr int gateways = 400;
     constexpr double limitPerS = 0.5;
-    std::vector<Turns> all;
+    std::vector<SendSchedule> all;
     for( int n = 0; n < gateways; ++n ) {
         all.emplace_back( static_cast<double>( n ) / gateways );
     }
@@ -90,16 +90,17 @@
     LimitHolder holder;
     constexpr int gateways = 5;
     for( int n = 0; n < gateways; ++n ) {
-        holder.takeNews( news( "g" + std::to_string( n ), gateways, word( 1.5 ) ), start );
+        holder.takeUpdate( news( "g" + std::to_string( n ), gateways, statement( 1.5 ) ), start );
     }
     int granted = 0;
     for( auto now = start; now < start + 20s; now += 50ms ) {
         for( int n = 0; n < gateways; ++n ) {
             const auto gateway = "g" + std::to_string( n );
             if( ( now - start ) % 400ms == 0ms ) {
-                holder.takeNews( news( gateway, gateways, word( 1.5 ) ), now );
+                holder.takeUpdate( news( gateway, gateways, statement( 1.5 ) ), now );
             }
-            granted += ask( holder, gateway, word( 1.5 ), now ) == LimitVerdict::granted ? 1 : 0;
+            granted +=
+                ask( holder, gateway, statement( 1.5 ), now ) == LimitVerdict::granted ? 1 : 0;
         }
     }
     CHECK( granted <= 33 );
@@ -111,9 +112,9 @@
     int granted = 0;
     for( auto now = start; now < start + 20s; now += 50ms ) {
         if( ( now - start ) % 400ms == 0ms ) {
-            holder.takeNews( news( "g1", 4, word( 2 ) ), now );
+            holder.takeUpdate( news( "g1", 4, statement( 2 ) ), now );
         }
-        granted += ask( holder, "g1", word( 2 ), now ) == LimitVerdict::granted ? 1 : 0;
+        granted += ask( holder, "g1", statement( 2 ), now ) == LimitVerdict::granted ? 1 : 0;
     }
     CHECK( granted <= 12 );
     CHECK( granted >= 8 );
@@ -121,41 +122,41 @@
 
 TEST_CASE( "Without room a gateway is told when there may be some", "[limit]" ) {
     LimitHolder holder;
-    holder.takeNews( news( "g1", 1, word( 2 ) ), start );
-    CHECK( ask( holder, "g1", word( 2 ), start ) == LimitVerdict::granted );
-    CHECK( ask( holder, "g1", word( 2 ), start ) == LimitVerdict::granted );
-    const auto answer = holder.ask( "g1", { 9, word( 2 ) }, start + 100ms );
+    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
+    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::granted );
+    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::granted );
+    const auto answer = holder.ask( "g1", { 9, statement( 2 ) }, start + 100ms );
     CHECK( answer.verdict == LimitVerdict::full );
     CHECK( answer.number == 9 );
-    CHECK( answer.roomMs > 100 );
-    CHECK( answer.roomMs <= 500 );
-    CHECK( answer.waitMs >= answer.roomMs );
-    CHECK( holder.ask( "g1", { 10, word( 2 ) }, start + 100ms ).waitMs > answer.waitMs );
-    holder.takeBack( { name }, start + 100ms );
-    CHECK( ask( holder, "g1", word( 2 ), start + 100ms ) == LimitVerdict::granted );
+    CHECK( answer.earliestWaitMs > 100 );
+    CHECK( answer.earliestWaitMs <= 500 );
+    CHECK( answer.waitMs >= answer.earliestWaitMs );
+    CHECK( holder.ask( "g1", { 10, statement( 2 ) }, start + 100ms ).waitMs > answer.waitMs );
+    holder.acceptReturn( { name }, start + 100ms );
+    CHECK( ask( holder, "g1", statement( 2 ), start + 100ms ) == LimitVerdict::granted );
 }
 
 TEST_CASE( "A gateway that has told a holder nothing is not counted there", "[limit]" ) {
     LimitHolder holder;
-    CHECK( ask( holder, "g1", word( 2 ), start ) == LimitVerdict::unknown );
-    holder.takeNews( news( "g1", 1, word( 2 ) ), start );
-    CHECK( ask( holder, "g2", word( 2 ), start ) == LimitVerdict::unknown );
+    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::unknown );
+    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
+    CHECK( ask( holder, "g2", statement( 2 ), start ) == LimitVerdict::unknown );
 }
 
 TEST_CASE( "The word that is newest decides, whoever brings it", "[limit]" ) {
     LimitHolder holder;
-    holder.takeNews( news( "g1", 2, word( 2, 300 ) ), start );
+    holder.takeUpdate( news( "g1", 2, statement( 2, 300 ) ), start );
     REQUIRE( holder.takeChanges( start ).size() == 1 );
     // Its request was sent before the limit was last named.
-    holder.takeNews( news( "g2", 2, word( 2, 900, 500 ) ), start );
+    holder.takeUpdate( news( "g2", 2, statement( 2, 900, 500 ) ), start );
     CHECK( holder.takeChanges( start ).empty() );
-    CHECK( ask( holder, "g1", word( 2, 300 ), start ) != LimitVerdict::ended );
-    holder.takeNews( news( "g2", 2, word( 2, 900, 200 ) ), start );
+    CHECK( ask( holder, "g1", statement( 2, 300 ), start ) != LimitVerdict::ended );
+    holder.takeUpdate( news( "g2", 2, statement( 2, 900, 200 ) ), start );
     const auto changes = holder.takeChanges( start );
     REQUIRE( changes.size() == 1 );
-    CHECK( changes[0].noneMs < changes[0].namedMs );
-    CHECK( ask( holder, "g1", word( 2, 300 ), start ) == LimitVerdict::ended );
-    holder.takeNews( news( "g1", 2, word( 0.5, 0 ) ), start + 1s );
+    CHECK( changes[0].noneAgoMs < changes[0].namedAgoMs );
+    CHECK( ask( holder, "g1", statement( 2, 300 ), start ) == LimitVerdict::ended );
+    holder.takeUpdate( news( "g1", 2, statement( 0.5, 0 ) ), start + 1s );
     const auto again = holder.takeChanges( start + 1s );
     REQUIRE( again.size() == 1 );
     CHECK( again[0].perS == 0.5 );
@@ -166,8 +167,8 @@
     LimitHolder holder;
     int granted = 0;
     for( auto now = start; now < start + 40s; now += 100ms ) {
-        holder.takeNews( news( "g1", 1, word( 0 ) ), now );
-        granted += ask( holder, "g1", word( 0 ), now ) == LimitVerdict::granted ? 1 : 0;
+        holder.takeUpdate( news( "g1", 1, statement( 0 ) ), now );
+        granted += ask( holder, "g1", statement( 0 ), now ) == LimitVerdict::granted ? 1 : 0;
     }
     CHECK( granted >= 8 );
     CHECK( granted <= 12 );
@@ -175,18 +176,18 @@
 
 TEST_CASE( "A limit that nobody speaks of is forgotten", "[limit]" ) {
     LimitHolder holder;
-    holder.takeNews( news( "g1", 1, word( 2 ) ), start );
+    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
     CHECK( holder.size() == 1 );
-    holder.takeNews( { "g1", 1, {} }, start + 61s );
+    holder.takeUpdate( { "g1", 1, {} }, start + 61s );
     CHECK( holder.size() == 0 );
 }
 
 TEST_CASE( "Whatever others say of a limit, a holder answers", "[limit]" ) {
-    const bool holds =
-        rc::check( []( double perS, std::int64_t namedMs, std::int64_t noneMs, int gateways ) {
+    const bool holds = rc::check(
+        []( double perS, std::int64_t namedAgoMs, std::int64_t noneAgoMs, int gateways ) {
             LimitHolder holder;
-            const LimitWord said{ name, perS, namedMs, noneMs };
-            holder.takeNews( { "g1", gateways, { said } }, start );
+            const LimitStatement said{ name, perS, namedAgoMs, noneAgoMs };
+            holder.takeUpdate( { "g1", gateways, { said } }, start );
             const auto answer = holder.ask( "g1", { 1, said }, start );
             RC_ASSERT( answer.verdict != LimitVerdict::unknown );
             holder.takeChanges( start );
@@ -196,12 +197,12 @@
 
 TEST_CASE( "Without a holder a gateway keeps to its own turns", "[limit]" ) {
     LimitState state;
-    state.turns = Turns( 0 );
+    state.sendSchedule = SendSchedule( 0 );
     state.known.noteNamed( 1, start );
-    const auto first = followLimit( state, std::nullopt, 10, start, start );
+    const auto first = applyLimitAnswer( state, std::nullopt, 10, start, start );
     CHECK( first.outcome == LimitOutcome::ownTurn );
     CHECK( state.fullLeft( start ) == 0ms );
-    const auto second = followLimit( state, std::nullopt, 10, start, start + 100ms );
+    const auto second = applyLimitAnswer( state, std::nullopt, 10, start, start + 100ms );
     CHECK( second.outcome == LimitOutcome::noTurn );
     CHECK( second.wait > 0ms );
     CHECK( state.fullLeft( start + 100ms ) == second.wait );
@@ -213,7 +214,8 @@
     LimitState state;
     state.known.noteNamed( 1, start );
     const auto follow = [&]( LimitVerdict verdict, std::int64_t waitMs ) {
-        return followLimit( state, LimitAnswer{ 1, verdict, waitMs, waitMs }, 10, start, start );
+        return applyLimitAnswer( state, LimitAnswer{ 1, verdict, waitMs, waitMs }, 10, start,
+                                 start );
     };
     CHECK( follow( LimitVerdict::granted, 0 ).maySend() );
     const auto full = follow( LimitVerdict::full, 700 );
@@ -221,8 +223,8 @@
     CHECK( full.wait == 700ms );
     CHECK( state.fullLeft( start ) == 700ms );
     CHECK( follow( LimitVerdict::full, 90000 ).wait == 2000ms );
-    CHECK( followLimit( state, LimitAnswer{ 1, LimitVerdict::ended, 0, 0 }, 10, start + 1s,
-                        start + 1s )
+    CHECK( applyLimitAnswer( state, LimitAnswer{ 1, LimitVerdict::ended, 0, 0 }, 10, start + 1s,
+                             start + 1s )
                .maySend() );
     CHECK_FALSE( state.known.perS() );
 }
@@ -274,7 +276,7 @@
         gateway::Generation generation;
         generation.model = "m1";
         generation.promptTokens = 100;
-        gateway::Need need;
+        gateway::RequestNeeds need;
         need.service = "s";
         need.generation = &generation;
         return fleet.choose( need, {}, now );
@@ -316,7 +318,7 @@
     f.fleet.nodes().at( "empty" )->gone = true;
     f.holder().limit.known.noteNamed( 1, start );
     f.holder().limit.fullUntil = start + 100ms;
-    f.holder().limit.comeBack = start + 700ms;
+    f.holder().limit.retryAt = start + 700ms;
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
     CHECK( choice.atLimit );
--- a/tests/unit/links.tests.cpp
+++ b/tests/unit/links.tests.cpp
@@ -64,20 +64,20 @@
 } // namespace
 
 TEST_CASE( "A gateway before few sidecars is connected to all", "[gateway][links]" ) {
-    Sidecars few( static_cast<int>( usualLinks ) );
-    CHECK( few.follow( "gateway-1" ) == usualLinks );
-    CHECK( few.follow( "gateway-1" ) == usualLinks );
+    Sidecars few( static_cast<int>( targetLinks ) );
+    CHECK( few.follow( "gateway-1" ) == targetLinks );
+    CHECK( few.follow( "gateway-1" ) == targetLinks );
 }
 
 TEST_CASE( "A gateway's connections do not grow with the sidecars", "[gateway][links]" ) {
     for( const int count : { 65, 624, 1248, 5000 } ) {
         Sidecars many( count );
-        CHECK( many.follow( "gateway-1" ) == usualLinks );
+        CHECK( many.follow( "gateway-1" ) == targetLinks );
         // Use opens others.
         for( std::size_t n = 0; n < many.candidates.size(); n += 10 ) {
             many.candidates[n].open = true;
         }
-        CHECK( many.follow( "gateway-1" ) <= mostLinks + commonLinks );
+        CHECK( many.follow( "gateway-1" ) <= maxLinks + commonLinks );
     }
 }
 
@@ -159,9 +159,9 @@
     for( std::size_t n = 0; n < candidates.size(); ++n ) {
         auto& it = candidates[n];
         it.workMs = 240;
-        it.homeWorkMs = 80;
-        it.freshTokens = 9000;
-        it.homeTokens = 3000;
+        it.unsharedWorkMs = 80;
+        it.uncachedTokens = 9000;
+        it.unsharedTokens = 3000;
         it.affinity = n;
     }
     candidates[0].backlogMs = 100;
@@ -169,23 +169,23 @@
     candidates[2].seen = false;
     candidates[3].seen = false;
     SECTION( "as busy as the others, and the shared parts lie where all send them" ) {
-        assumeUnseen( candidates );
+        estimateUnseenLoads( candidates );
         CHECK( candidates[2].backlogMs == Approx( 200 ) );
         CHECK( candidates[2].workMs == Approx( 240 ) );
         CHECK( candidates[3].backlogMs == Approx( 200 ) );
         CHECK( candidates[3].workMs == Approx( 80 ) );
-        CHECK( candidates[3].freshTokens == 3000 );
+        CHECK( candidates[3].uncachedTokens == 3000 );
         CHECK( choose( candidates ) == 3U );
     }
     SECTION( "where the shared parts lie is no matter of guessing once it is seen" ) {
         candidates[3].seen = true;
-        assumeUnseen( candidates );
+        estimateUnseenLoads( candidates );
         CHECK( candidates[3].workMs == Approx( 240 ) );
         CHECK( candidates[2].workMs == Approx( 240 ) );
     }
     SECTION( "nor does an engine without the model keep them" ) {
         candidates[3].holds = false;
-        assumeUnseen( candidates );
+        estimateUnseenLoads( candidates );
         CHECK( candidates[3].workMs == Approx( 240 ) );
         CHECK( candidates[2].workMs == Approx( 80 ) );
     }
@@ -225,7 +225,7 @@
         net::FrameChannel::FrameHandler handler = [this, channel]( std::string_view frame ) {
             const auto message = decode( frame );
             REQUIRE( message );
-            if( std::get_if<EngineNews>( &*message ) != nullptr ) {
+            if( std::get_if<EngineUpdate>( &*message ) != nullptr ) {
                 kinds.emplace_back( "news" );
                 channel->send( encode( Message( SidecarReport{} ) ) );
             } else if( const auto* ask = std::get_if<EnsureRequest>( &*message ) ) {
@@ -234,7 +234,7 @@
                 answer.number = ask->number;
                 answer.outcome = EnsureOutcome::ready;
                 channel->send( encode( Message( answer ) ) );
-            } else if( std::get_if<DemandNews>( &*message ) != nullptr ) {
+            } else if( std::get_if<DemandUpdate>( &*message ) != nullptr ) {
                 kinds.emplace_back( "demand" );
             }
         };
@@ -252,12 +252,12 @@
     auto link = std::make_shared<SidecarLink>( context, "127.0.0.1", beside.port() );
     SidecarLink::Handlers handlers;
     handlers.connected = [&] {
-        link->send( DemandNews{} );
+        link->send( DemandUpdate{} );
     };
     link->setHandlers( std::move( handlers ) );
-    EngineNews news;
+    EngineUpdate news;
     news.gateway = "gateway-1";
-    link->setNews( news, encodeSpec( EngineSpec{} ) );
+    link->announceEngine( news, encodeSpec( EngineSpec{} ) );
     CHECK( link->state() == LinkState::closed );
     const auto ask = [&] {
         std::optional<EnsureAnswer> answer;
@@ -301,16 +301,16 @@
     }
     context.restart();
     auto link = std::make_shared<SidecarLink>( context, "127.0.0.1", port );
-    CHECK( link->mayAnswer( MonoClock::now() ) );
+    CHECK( link->mayBeResponsive( MonoClock::now() ) );
     std::optional<bool> reached;
     auto task = [&]() -> net::Task<> {
-        reached = co_await link->opened( 1000ms );
+        reached = co_await link->waitUntilOpen( 1000ms );
     };
     net::asio::co_spawn( context, task, net::asio::detached );
     REQUIRE( runUntil( context, [&] { return reached.has_value(); } ) );
     CHECK_FALSE( *reached );
     CHECK( link->state() == LinkState::failing );
-    CHECK_FALSE( link->mayAnswer( MonoClock::now() ) );
+    CHECK_FALSE( link->mayBeResponsive( MonoClock::now() ) );
     link->stop();
 }
 
@@ -363,7 +363,7 @@
         Generation generation;
         generation.model = "m";
         generation.promptTokens = tokens;
-        Need need;
+        RequestNeeds need;
         need.service = "models";
         need.generation = &generation;
         return fleet.choose( need, {}, MonoClock::now() );
--- a/tests/unit/organisation.tests.cpp
+++ b/tests/unit/organisation.tests.cpp
@@ -68,15 +68,15 @@
     const auto& keyed = *table.find( "h", "/a/x" );
     const auto& keyless = *table.find( "h", "/b/x" );
 
-    const auto one = accessOf( table, keyed, digestOf( "k2" ), true );
+    const auto one = checkAccess( table, keyed, digestOf( "k2" ), true );
     REQUIRE( one.organisation != nullptr );
     CHECK( one.organisation->name == "one" );
     CHECK( one.organisation->priority == 1 );
     CHECK( one.organisation->limit == QuotaLimit{ 1000, 500, QuotaUnit::tokens, 200 } );
-    CHECK( accessOf( table, keyed, digestOf( "k3" ), true ).organisation->name == "two" );
-    CHECK( accessOf( table, keyed, digestOf( "k9" ), true ).verdict == AccessVerdict::denied );
-    CHECK( accessOf( table, keyed, std::nullopt, true ).verdict == AccessVerdict::denied );
-    CHECK( accessOf( table, keyless, std::nullopt, true ).verdict == AccessVerdict::allowed );
+    CHECK( checkAccess( table, keyed, digestOf( "k3" ), true ).organisation->name == "two" );
+    CHECK( checkAccess( table, keyed, digestOf( "k9" ), true ).verdict == AccessVerdict::denied );
+    CHECK( checkAccess( table, keyed, std::nullopt, true ).verdict == AccessVerdict::denied );
+    CHECK( checkAccess( table, keyless, std::nullopt, true ).verdict == AccessVerdict::allowed );
 }
 
 TEST_CASE( "A gateway that does not hear of changes denies no key that it lacks",
@@ -85,9 +85,10 @@
     auto read = platform::readConfiguration( keyedConfiguration().dump(), problem );
     const RouteTable table( std::move( *read ) );
     const auto& keyed = *table.find( "h", "/a/x" );
-    CHECK( accessOf( table, keyed, digestOf( "k9" ), false ).verdict == AccessVerdict::undecided );
-    CHECK( accessOf( table, keyed, digestOf( "k1" ), false ).verdict == AccessVerdict::allowed );
-    CHECK( accessOf( table, keyed, std::nullopt, false ).verdict == AccessVerdict::denied );
+    CHECK( checkAccess( table, keyed, digestOf( "k9" ), false ).verdict ==
+           AccessVerdict::undecided );
+    CHECK( checkAccess( table, keyed, digestOf( "k1" ), false ).verdict == AccessVerdict::allowed );
+    CHECK( checkAccess( table, keyed, std::nullopt, false ).verdict == AccessVerdict::denied );
 }
 
 TEST_CASE( "Without organisations in the configuration nobody needs a key", "[organisation]" ) {
@@ -96,7 +97,7 @@
     std::string problem;
     auto read = platform::readConfiguration( json.dump(), problem );
     const RouteTable table( std::move( *read ) );
-    CHECK( accessOf( table, *table.find( "h", "/a/x" ), std::nullopt, true ).verdict ==
+    CHECK( checkAccess( table, *table.find( "h", "/a/x" ), std::nullopt, true ).verdict ==
            AccessVerdict::allowed );
 }
 
--- a/tests/unit/platform.tests.cpp
+++ b/tests/unit/platform.tests.cpp
@@ -136,7 +136,7 @@
     REQUIRE( head.generation );
     CHECK( head.generation->model == "m1" );
     CHECK( head.generation->adapter == "a3" );
-    CHECK( head.generation->mostTokens == 80 );
+    CHECK( head.generation->maxTokens == 80 );
     REQUIRE( head.generation->parts.size() == 2 );
     CHECK( head.generation->parts[0].id == 0x5c1e07a2 );
     CHECK( head.generation->parts[1].tokens == 410 );
@@ -166,11 +166,11 @@
             "runs":[["r1",800,0,1],["r2",900,4,1]],"coming":["m1/a2@1"],
             "available":{"inMemory":["m1"],"onDisk":[{"name":"m2"}]}})" );
     REQUIRE( report );
-    CHECK( report->ordering );
+    CHECK( report->orderInProgress );
     CHECK( report->sequence == 3 );
     // Five are active, and one of them has made events.
     CHECK( report->prefilling == 4 );
-    CHECK( report->coming == std::vector<std::string>{ "m1/a2" } );
+    CHECK( report->loadingAdapters == std::vector<std::string>{ "m1/a2" } );
     CHECK( report->onDisk == std::vector<std::string>{ "m2" } );
     CHECK_FALSE( platform::readEngineReport( "no json" ) );
 }
--- a/tests/unit/poison.tests.cpp
+++ b/tests/unit/poison.tests.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: BSL-1.0
+#include "decide/completed_runs.hpp"
 #include "decide/fingerprint.hpp"
-#include "decide/poison_book.hpp"
+#include "decide/poison_counter.hpp"
 #include "decide/quarantine_list.hpp"
-#include "decide/whole_runs.hpp"
 #include "platform/store_wire.hpp"
 
 #include <catch2/catch.hpp>
@@ -42,15 +42,15 @@
 }
 
 TEST_CASE( "Fingerprints are read back from their text, and nothing else is", "[poison]" ) {
-    CHECK( readFingerprint( fingerprintText( 0xabcULL ) ) == 0xabcULL );
+    CHECK( parseFingerprint( fingerprintText( 0xabcULL ) ) == 0xabcULL );
     for( const auto* it : { "", "xyz", "12 ", "-1", "123456789012345678" } ) {
         INFO( it );
-        CHECK_FALSE( readFingerprint( it ) );
+        CHECK_FALSE( parseFingerprint( it ) );
     }
 }
 
 TEST_CASE( "Three upstreams that end under a content have it quarantined", "[poison]" ) {
-    PoisonBook book;
+    PoisonCounter book;
     CHECK_FALSE( book.note( { poison }, "u1", start ) );
     CHECK_FALSE( book.note( { poison }, "u2", start + 1s ) );
     // Another content in between changes nothing.
@@ -59,11 +59,11 @@
     REQUIRE( found );
     CHECK( found->fingerprint == poison );
     CHECK( found->times == 1 );
-    CHECK( found->holdMs == holdOf( 1 ).count() );
+    CHECK( found->holdMs == quarantineDuration( 1 ).count() );
 }
 
 TEST_CASE( "One end counts once, however many gateways tell of it", "[poison]" ) {
-    PoisonBook book;
+    PoisonCounter book;
     for( int n = 0; n < 50; ++n ) {
         CHECK_FALSE( book.note( { poison }, "u1", start + n * 10ms ) );
     }
@@ -73,10 +73,10 @@
 }
 
 TEST_CASE( "Who had long made events counts for half", "[poison]" ) {
-    CHECK( weightOf( -1 ) == 1.0 );
-    CHECK( weightOf( 900 ) == 1.0 );
-    CHECK( weightOf( 1000 ) == 0.5 );
-    PoisonBook book;
+    CHECK( evidenceWeight( -1 ) == 1.0 );
+    CHECK( evidenceWeight( 900 ) == 1.0 );
+    CHECK( evidenceWeight( 1000 ) == 0.5 );
+    PoisonCounter book;
     for( int n = 1; n < 6; ++n ) {
         CHECK_FALSE( book.note( { poison, 0.5 }, "u" + std::to_string( n ), start + n * 1s ) );
     }
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE( "A content that ran to its end begins anew", "[poison]" ) {
-    PoisonBook book;
+    PoisonCounter book;
     book.note( { poison }, "u1", start );
     book.note( { poison }, "u2", start );
     CHECK( book.clear( poison ) );
@@ -96,18 +96,18 @@
 }
 
 TEST_CASE( "After a quarantine one end is enough, and the next one lasts longer", "[poison]" ) {
-    PoisonBook book;
+    PoisonCounter book;
     const auto again = book.note( { poison, 1.0, 1 }, "u1", start );
     REQUIRE( again );
     CHECK( again->times == 2 );
-    CHECK( again->holdMs > holdOf( 1 ).count() );
+    CHECK( again->holdMs > quarantineDuration( 1 ).count() );
     // Of the tries that follow a third end there are three at the most in a day.
-    CHECK( holdOf( 4 ) == 24h );
-    CHECK( holdOf( 99 ) == 24h );
+    CHECK( quarantineDuration( 4 ) == 24h );
+    CHECK( quarantineDuration( 99 ) == 24h );
 }
 
 TEST_CASE( "A hall without power makes no content poison, and costs bounded memory", "[poison]" ) {
-    PoisonBook book;
+    PoisonCounter book;
     for( Fingerprint it = 1; it <= 60000; ++it ) {
         CHECK_FALSE( book.note( { it }, "u" + std::to_string( it % 600 ), start ) );
     }
@@ -145,25 +145,25 @@
 
 TEST_CASE( "Gateways choose the same few processes to count a content's ends", "[poison]" ) {
     const std::vector<std::string_view> all{ "a", "b", "c", "d", "e", "f" };
-    const auto chosen = holdersOf( poison, all );
-    REQUIRE( chosen.size() == holdersOfEach );
+    const auto chosen = poisonHolders( poison, all );
+    REQUIRE( chosen.size() == holdersPerContent );
     // Without one of them the others stay.
     std::vector<std::string_view> fewer = all;
     fewer.erase( fewer.begin() + static_cast<std::ptrdiff_t>( chosen[0] ) );
-    const auto next = holdersOf( poison, fewer );
+    const auto next = poisonHolders( poison, fewer );
     CHECK( fewer[next[0]] == all[chosen[1]] );
     CHECK( fewer[next[1]] == all[chosen[2]] );
-    CHECK( holdersOf( poison, {} ).empty() );
-    CHECK( holdersOf( poison, std::vector<std::string_view>{ "a" } ).size() == 1 );
+    CHECK( poisonHolders( poison, {} ).empty() );
+    CHECK( poisonHolders( poison, std::vector<std::string_view>{ "a" } ).size() == 1 );
 }
 
 TEST_CASE( "What ran whole lately is forgiven one end, not two", "[poison]" ) {
-    WholeRuns runs;
-    CHECK_FALSE( runs.forgive( poison ) );
+    CompletedRuns runs;
+    CHECK_FALSE( runs.consume( poison ) );
     runs.note( poison );
-    CHECK_FALSE( runs.forgive( poison + 1 ) );
-    CHECK( runs.forgive( poison ) );
-    CHECK_FALSE( runs.forgive( poison ) );
+    CHECK_FALSE( runs.consume( poison + 1 ) );
+    CHECK( runs.consume( poison ) );
+    CHECK_FALSE( runs.consume( poison ) );
 }
 
 TEST_CASE( "A quarantine is read from the store as it was written, less the time since",
@@ -182,7 +182,7 @@
     CHECK( platform::readQuarantine( object, now + 90000, problem )->holdMs < 0 );
     // A clock that is far off holds nothing for longer than a quarantine lasts.
     CHECK( platform::readQuarantine( object, now - 999999999, problem )->holdMs ==
-           holdOf( 2 ).count() );
+           quarantineDuration( 2 ).count() );
 }
 
 TEST_CASE( "A quarantine that can't be read names nothing, and says why", "[poison][platform]" ) {
--- a/tests/unit/reading_queue.tests.cpp
+++ b/tests/unit/reading_queue.tests.cpp
@@ -20,7 +20,7 @@
 //! What any gap target may give to reading, with a little for rounding.
 constexpr double mostReadingMs = 0.7 * 600 + 1;
 
-ReadingAsk prompt( std::uint64_t key, double workMs, Millis startBy ) {
+ReadingRequest prompt( std::uint64_t key, double workMs, Millis startBy ) {
     return { key, workMs, now + startBy };
 }
 
@@ -51,8 +51,8 @@
     return out;
 }
 
-gateway::AskedPrompt askedPrompt( std::vector<gateway::AskedPart> parts ) {
-    gateway::AskedPrompt out;
+gateway::PendingPrompt describePrompt( std::vector<gateway::PendingPromptPart> parts ) {
+    gateway::PendingPrompt out;
     out.msPerToken = 0.1;
     out.goalMs = 500;
     for( const auto& it : parts ) {
@@ -62,7 +62,7 @@
     return out;
 }
 
-sidecar::PromptAsk ask( std::uint64_t key, gateway::AskedPrompt prompt ) {
+sidecar::PromptRequest ask( std::uint64_t key, gateway::PendingPrompt prompt ) {
     return { key, "m", "", std::move( prompt ), now, 500ms };
 }
 
@@ -172,10 +172,10 @@
     REQUIRE( queue.takeNext( now ) );
     REQUIRE( queue.ask( prompt( 2, 100, 150ms ), now ).accepted );
     REQUIRE( queue.ask( prompt( 3, 100, 900ms ), now ).accepted );
-    CHECK( queue.takeLate( now + 90ms ).empty() );
+    CHECK( queue.takeExpired( now + 90ms ).empty() );
     // The engine still has the first one, and is expected to need 50 ms more.
     queue.noteUnread( 1, now + 200ms );
-    const auto late = queue.takeLate( now + 200ms );
+    const auto late = queue.takeExpired( now + 200ms );
     REQUIRE( late.size() == 1 );
     CHECK( late[0].key == 2 );
     CHECK( queue.waiting() == 1 );
@@ -185,15 +185,15 @@
            "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, 0ms );
-    gate.ask( ask( 1, askedPrompt( { { 1, 1000 } } ) ), now );
-    REQUIRE( gate.takeDue( now ).size() == 1 );
-    auto second = ask( 2, askedPrompt( { { 2, 1000 } } ) );
+    gate.ask( ask( 1, describePrompt( { { 1, 1000 } } ) ), now );
+    REQUIRE( gate.takeAdmitted( now ).size() == 1 );
+    auto second = ask( 2, describePrompt( { { 2, 1000 } } ) );
     second.prompt.goalMs = 110;
     second.prompt.late = true;
     second.limit = 2000ms;
     REQUIRE( gate.ask( second, now ).accepted );
     gate.noteUnread( 1, now + 140ms );
-    CHECK( gate.takeLate( now + 140ms ).empty() );
+    CHECK( gate.takeExpired( now + 140ms ).empty() );
     CHECK( gate.waiting() == 1 );
 }
 
@@ -207,40 +207,40 @@
     for( int n = 0; n < 20; ++n ) {
         report( n, n * 40ms, false );
     }
-    CHECK_FALSE( pace.whileReading() );
+    CHECK_FALSE( pace.pauseWhileReading() );
     for( int n = 0; n < 40; ++n ) {
         // A report in the middle of each pause, while prompts are read all the time.
         report( 20 + n, 800ms + n * 300ms, true );
         report( 20 + n, 950ms + n * 300ms, true );
     }
-    REQUIRE( pace.whileReading() );
-    CHECK( *pace.whileReading() > 280ms );
-    CHECK( *pace.whileReading() < 320ms );
+    REQUIRE( pace.pauseWhileReading() );
+    CHECK( *pace.pauseWhileReading() > 280ms );
+    CHECK( *pace.pauseWhileReading() < 320ms );
 }
 
 TEST_CASE( "Of two prompts with the same shared part only the first has it read",
            "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, gapTarget );
-    gate.ask( ask( 1, askedPrompt( { { 7, 1000 }, { 8, 100 } } ) ), now );
-    const auto first = gate.takeDue( now );
+    gate.ask( ask( 1, describePrompt( { { 7, 1000 }, { 8, 100 } } ) ), now );
+    const auto first = gate.takeAdmitted( now );
     REQUIRE( first.size() == 1 );
     CHECK( first[0].workMs == Approx( 110 ) );
-    gate.ask( ask( 2, askedPrompt( { { 7, 1000 }, { 9, 100 } } ) ), now );
-    const auto second = gate.takeDue( now + 110ms );
+    gate.ask( ask( 2, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now );
+    const auto second = gate.takeAdmitted( now + 110ms );
     REQUIRE( second.size() == 1 );
     CHECK( second[0].workMs == Approx( 10 ) );
     gate.dropModel( "m" );
-    gate.ask( ask( 3, askedPrompt( { { 7, 1000 }, { 9, 100 } } ) ), now + 200ms );
-    CHECK( gate.takeDue( now + 200ms ).at( 0 ).workMs == Approx( 110 ) );
+    gate.ask( ask( 3, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now + 200ms );
+    CHECK( gate.takeAdmitted( now + 200ms ).at( 0 ).workMs == Approx( 110 ) );
 }
 
 TEST_CASE( "A prompt that may be late is queued where it can't be in time", "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, gapTarget );
-    gate.ask( ask( 1, askedPrompt( { { 1, 4000 } } ) ), now );
-    REQUIRE( gate.takeDue( now ).size() == 1 );
-    auto second = ask( 2, askedPrompt( { { 2, 4000 } } ) );
+    gate.ask( ask( 1, describePrompt( { { 1, 4000 } } ) ), now );
+    REQUIRE( gate.takeAdmitted( now ).size() == 1 );
+    auto second = ask( 2, describePrompt( { { 2, 4000 } } ) );
     second.limit = 2000ms;
     CHECK_FALSE( gate.ask( second, now ).accepted );
     second.prompt.late = true;
--- a/tests/unit/registry.tests.cpp
+++ b/tests/unit/registry.tests.cpp
@@ -41,7 +41,7 @@
     for( int n = 0; n < 624; ++n ) {
         all.push_back( entry( n, n, 1 ) );
     }
-    registry.list( all, start );
+    registry.applyListing( all, start );
     CHECK( registry.takeChanged().size() == 624U );
     CHECK( registry.takeChanged().empty() );
     auto one = all[7];
--- a/tests/unit/relay.tests.cpp
+++ b/tests/unit/relay.tests.cpp
@@ -50,16 +50,16 @@
     RandomSource random{ 1 };
     metrics::Metrics metrics;
     sidecar::Relay relay{ context, settings, random, metrics };
-    std::vector<StoreNews> news;
+    std::vector<StoreUpdate> news;
 
     void subscribe() {
         relay.subscribe( this, [this]( std::string_view message ) {
             const auto decoded = decode( message );
             REQUIRE( decoded );
-            news.push_back( std::get<StoreNews>( *decoded ) );
+            news.push_back( std::get<StoreUpdate>( *decoded ) );
         } );
     }
-    const StoreNews* find( const std::function<bool( const StoreNews& )>& fits ) const {
+    const StoreUpdate* find( const std::function<bool( const StoreUpdate& )>& fits ) const {
         for( const auto& it : news ) {
             if( fits( it ) ) {
                 return &it;
@@ -67,7 +67,7 @@
         }
         return nullptr;
     }
-    bool comes( const std::function<bool( const StoreNews& )>& fits ) {
+    bool comes( const std::function<bool( const StoreUpdate& )>& fits ) {
         return runUntil( context, [&] { return find( fits ) != nullptr; } );
     }
 };
@@ -206,10 +206,10 @@
     REQUIRE( f.comes( []( const auto& it ) { return it.whole; } ) );
     f.relay.unsubscribe( &f );
     // What is under way may still end; then there is silence.
-    const auto settled = MonoClock::now() + 2 * relaySilence( f.settings.bounds );
+    const auto settled = MonoClock::now() + 2 * relaySilenceLimit( f.settings.bounds );
     runUntil( f.context, [&] { return MonoClock::now() > settled; } );
     const auto calls = f.store.calls();
-    const auto later = MonoClock::now() + 2 * relaySilence( f.settings.bounds );
+    const auto later = MonoClock::now() + 2 * relaySilenceLimit( f.settings.bounds );
     runUntil( f.context, [&] { return MonoClock::now() > later; } );
     CHECK( f.store.calls() == calls );
 }
@@ -220,7 +220,7 @@
     ObjectStore store{ context };
     RandomSource random{ 1 };
     std::vector<std::string> seen;
-    FollowHandlers handlers;
+    FollowerHandlers handlers;
     handlers.listing = [&]( const auto& objects ) {
         for( const auto& it : objects ) {
             seen.push_back( it.name );
@@ -231,7 +231,7 @@
     };
     handlers.reachable = []( bool ) {
     };
-    FollowSettings settings;
+    FollowerSettings settings;
     settings.kind = "servers";
     settings.wait = 100ms;
     platform::Endpoint endpoint;
@@ -242,7 +242,7 @@
     const auto position = [&store] {
         return decide::StorePosition{ store.era(), store.revision() };
     };
-    REQUIRE( follower.relayed( position(), true, MonoTime::max() ) );
+    REQUIRE( follower.acceptRelayed( position(), true, MonoTime::max() ) );
     auto task = follower.run();
     net::start( context, std::move( task ), "follower" );
     const auto quiet = MonoClock::now() + 300ms;
@@ -255,7 +255,7 @@
     // A relay that lags behind what the follower has seen by itself is not believed.
     auto before = position();
     --before.revision;
-    CHECK_FALSE( follower.relayed( before, true, MonoTime::max() ) );
+    CHECK_FALSE( follower.acceptRelayed( before, true, MonoTime::max() ) );
     follower.stop();
 }
 
--- a/tests/unit/restart.tests.cpp
+++ b/tests/unit/restart.tests.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr MonoTime start{ 1000s };
-constexpr Born first = 1790000000000;
+constexpr StartTime first = 1790000000000;
 
-Upstream entry( Born born, UpstreamState state = UpstreamState::ready ) {
+Upstream entry( StartTime born, UpstreamState state = UpstreamState::ready ) {
     Upstream out;
     out.id = "u";
     out.born = born;
@@ -34,8 +34,8 @@
     Fleet fleet{ context, random, FleetSettings{ "vm", "hall", 1, 5000ms } };
     Registry registry{ Registry::Settings{} };
 
-    void list( Born born, MonoTime now ) {
-        registry.list( { entry( born ) }, now );
+    void applyListing( StartTime born, MonoTime now ) {
+        registry.applyListing( { entry( born ) }, now );
         fleet.sync( registry.members(), now );
     }
     Node& node() { return *fleet.nodes().at( "u" ); }
@@ -48,11 +48,11 @@
     rc::prop( "lists of three starts in any order, lost and repeated", [] {
         Gateway gateway;
         const auto told = *rc::gen::container<std::vector<int>>( rc::gen::inRange( 0, 3 ) );
-        Born newest = 0;
+        StartTime newest = 0;
         auto now = start;
         for( const int it : told ) {
-            const Born born = first + it * 5000;
-            gateway.list( born, now += 300ms );
+            const StartTime born = first + it * 5000;
+            gateway.applyListing( born, now += 300ms );
             newest = std::max( newest, born );
             RC_ASSERT( gateway.node().upstream.born == newest );
         }
@@ -62,7 +62,7 @@
 TEST_CASE( "What was known of an upstream's earlier start does not outlive it",
            "[gateway][restart]" ) {
     Gateway gateway;
-    gateway.list( first, start );
+    gateway.applyListing( first, start );
     Node& node = gateway.node();
     noteUnreachable( node.health, start );
     node.replaced = true;
@@ -78,9 +78,9 @@
     const std::vector<std::uint64_t> keys{ 11, 12 };
     node.prefixes.setCapacity( 100000 );
     node.notePrompt( keys, generation );
-    REQUIRE( node.prefixes.kept( keys, generation ) > 0 );
+    REQUIRE( node.prefixes.cachedTokens( keys, generation ) > 0 );
     node.inFlight = 3;
-    gateway.list( first + 1, start + 1s );
+    gateway.applyListing( first + 1, start + 1s );
     CHECK( node.takesRequests() );
     CHECK( node.engineReachable );
     CHECK( node.health.avoidUntil == MonoTime{} );
@@ -88,8 +88,8 @@
     CHECK( node.loading.empty() );
     CHECK( node.adaptersUsed.empty() );
     CHECK( node.sentParts.empty() );
-    CHECK( node.readingWait( start + 1s ) == 0 );
-    CHECK( node.prefixes.kept( keys, generation ) == 0 );
+    CHECK( node.readingWaitLeft( start + 1s ) == 0 );
+    CHECK( node.prefixes.cachedTokens( keys, generation ) == 0 );
     // Requests to the earlier start are still on their way back.
     CHECK( node.inFlight == 3 );
     CHECK( node.addedAt == start + 1s );
@@ -108,11 +108,11 @@
     CHECK_FALSE( view.take( report, start ).restarted );
     view.noteUnload( { sidecar::StepKind::unload, "m", "" }, start );
     view.setRetiring( "m", start );
-    CHECK( view.offered().empty() );
+    CHECK( view.availableResidents().empty() );
     report.born = first + 4000;
     const auto news = view.take( report, start + 100ms );
     CHECK( news.restarted );
-    CHECK( view.offered().size() == 1 );
+    CHECK( view.availableResidents().size() == 1 );
     CHECK_FALSE( view.take( report, start + 200ms ).restarted );
 }
 
@@ -135,11 +135,11 @@
 
 TEST_CASE( "A relay's word and a sidecar's tell which start they are about",
            "[gateway][restart]" ) {
-    StoreNews news;
+    StoreUpdate news;
     news.upstreams = { entry( first ) };
     const auto relayed = decode( encode( Message( news ) ) );
     REQUIRE( relayed );
-    CHECK( std::get<StoreNews>( *relayed ).upstreams[0].born == first );
+    CHECK( std::get<StoreUpdate>( *relayed ).upstreams[0].born == first );
     SidecarReport report;
     report.born = first;
     const auto reported = decode( encode( Message( report ) ) );
