--- a/tests/unit/sidecar.tests.cpp
+++ b/tests/unit/sidecar.tests.cpp
@@ -27,7 +27,7 @@
 struct Fixture {
     gateway::EngineSpec spec = engine();
     gateway::EngineReport report;
-    Holdings holdings;
+    ResidencyState holdings;
 
     Fixture() {
         report.residents = { { "m0", {} }, { "m1", {} }, { "m2", {} } };
@@ -36,7 +36,7 @@
         holdings.report = &report;
     }
     void use( const std::string& model, double perS, int copies ) {
-        Use out;
+        Usage out;
         out.perS = perS;
         out.copies = copies;
         holdings.models[model] = out;
@@ -66,33 +66,33 @@
     for( const auto* it : { "m0", "m1", "m2" } ) {
         f.holdings.models[it].loadedAt = now - 100ms;
     }
-    CHECK( nextStep( f.holdings, { "m3", "", false }, now ).kind == StepKind::noRoom );
+    CHECK( nextStep( f.holdings, { "m3", "", false }, now ).kind == StepKind::noCapacity );
 }
 
 TEST_CASE( "A model that only the weight store has waits for leave to use it",
            "[sidecar][residency]" ) {
     Fixture f;
     f.report.residents.pop_back();
-    CHECK( nextStep( f.holdings, { "m4", "", false }, now ).kind == StepKind::needStore );
+    CHECK( nextStep( f.holdings, { "m4", "", false }, now ).kind == StepKind::needsWeightStore );
     CHECK( nextStep( f.holdings, { "m4", "", true }, now ).kind == StepKind::load );
 }
 
 TEST_CASE( "While an unload waits for its runs, nobody is let in, and its memory stays taken",
            "[sidecar][residency]" ) {
     Fixture f;
-    f.report.ordering = true;
+    f.report.orderInProgress = true;
     f.holdings.unloads = { { "m0", "", now } };
     // Twenty gateways ask on, and the report goes on listing the model.
     for( int n = 0; n < 20; ++n ) {
         const auto at = now + n * 40ms;
-        settleUnloads( f.holdings.unloads, f.report, at );
-        CHECK( nextStep( f.holdings, { "m0", "", false }, at ).kind == StepKind::leaving );
-        CHECK( nextStep( f.holdings, { "m0", "a1", false }, at ).kind == StepKind::leaving );
+        removeFinishedUnloads( f.holdings.unloads, f.report, at );
+        CHECK( nextStep( f.holdings, { "m0", "", false }, at ).kind == StepKind::unloading );
+        CHECK( nextStep( f.holdings, { "m0", "a1", false }, at ).kind == StepKind::unloading );
         // A load that is wanted meanwhile waits: the room is not there yet.
         CHECK( nextStep( f.holdings, { "m3", "", false }, at ).kind == StepKind::wait );
     }
     CHECK( usedMb( f.spec, f.report ) == Approx( 3 * 72700 ) );
-    const auto shown = offered( f.report.residents, f.holdings.unloads, "" );
+    const auto shown = availableResidents( f.report.residents, f.holdings.unloads, "" );
     REQUIRE( shown.size() == 2 );
     CHECK( shown[0].model == "m1" );
 }
@@ -100,32 +100,32 @@
 TEST_CASE( "An unload is forgotten when a report shows that it is done, or was lost",
            "[sidecar][residency]" ) {
     Fixture f;
-    std::vector<Unloading> unloads{ { "m0", "", now } };
-    f.report.ordering = true;
-    settleUnloads( unloads, f.report, now + 2s );
+    std::vector<PendingUnload> unloads{ { "m0", "", now } };
+    f.report.orderInProgress = true;
+    removeFinishedUnloads( unloads, f.report, now + 2s );
     CHECK( unloads.size() == 1 );
     auto done = f.report;
     done.residents.erase( done.residents.begin() );
     auto after = unloads;
-    settleUnloads( after, done, now + 2s );
+    removeFinishedUnloads( after, done, now + 2s );
     CHECK( after.empty() );
-    f.report.ordering = false;
-    settleUnloads( unloads, f.report, now + 2s );
+    f.report.orderInProgress = false;
+    removeFinishedUnloads( unloads, f.report, now + 2s );
     CHECK( unloads.empty() );
     // An adapter's unload does not show as an order under way.
     f.report.residents[1].adapters = { "a1", "a2" };
     unloads = { { "m1", "a1", now } };
-    settleUnloads( unloads, f.report, now + 100ms );
+    removeFinishedUnloads( unloads, f.report, now + 100ms );
     CHECK( unloads.size() == 1 );
-    CHECK( offered( f.report.residents, unloads, "" )[1].adapters ==
+    CHECK( availableResidents( f.report.residents, unloads, "" )[1].adapters ==
            std::vector<std::string>{ "a2" } );
-    settleUnloads( unloads, f.report, now + 1100ms );
+    removeFinishedUnloads( unloads, f.report, now + 1100ms );
     CHECK( unloads.empty() );
 }
 
 TEST_CASE( "While a model's order is under way no other order is given", "[sidecar][residency]" ) {
     Fixture f;
-    f.report.ordering = true;
+    f.report.orderInProgress = true;
     CHECK( nextStep( f.holdings, { "m3", "", false }, now ).kind == StepKind::wait );
     CHECK( nextStep( f.holdings, { "m1", "a1", false }, now ).kind == StepKind::wait );
 }
@@ -148,9 +148,9 @@
            "[sidecar][residency]" ) {
     Fixture f;
     f.report.residents[0].adapters = { "a1" };
-    f.report.coming = { "m1/a4" };
+    f.report.loadingAdapters = { "m1/a4" };
     f.holdings.adapters["m0/a1"].lastUsed = now - 10ms;
-    CHECK( nextStep( f.holdings, { "m1", "a1", false }, now ).kind == StepKind::noRoom );
+    CHECK( nextStep( f.holdings, { "m1", "a1", false }, now ).kind == StepKind::noCapacity );
     CHECK( nextStep( f.holdings, { "m1", "a4", false }, now ).kind == StepKind::wait );
 }
 
@@ -164,10 +164,10 @@
     const auto step = nextStep( f.holdings, { "m1", "a1", false }, now );
     CHECK( step.kind == StepKind::unload );
     CHECK( step.adapter == "a2" );
-    CHECK( adapterRoom( f.holdings, now ) );
+    CHECK( hasAdapterCapacity( f.holdings, now ) );
     f.holdings.adapters["m2/a2"].running = 3;
-    CHECK( nextStep( f.holdings, { "m1", "a1", false }, now ).kind == StepKind::noRoom );
-    CHECK_FALSE( adapterRoom( f.holdings, now ) );
+    CHECK( nextStep( f.holdings, { "m1", "a1", false }, now ).kind == StepKind::noCapacity );
+    CHECK_FALSE( hasAdapterCapacity( f.holdings, now ) );
 }
 
 TEST_CASE( "A model with running requests retires before it is unloaded", "[sidecar][residency]" ) {
@@ -176,24 +176,24 @@
     f.use( "m1", 40, 3 );
     f.use( "m2", 50, 3 );
     f.holdings.models["m0"].running = 4;
-    const Want want{ "m3", "", false };
-    const auto first = nextStep( f.holdings, want, now );
+    const RequiredModel required{ "m3", "", false };
+    const auto first = nextStep( f.holdings, required, now );
     CHECK( first.kind == StepKind::retire );
     CHECK( first.model == "m0" );
     f.holdings.retiring = "m0";
     f.holdings.retiringSince = now;
     SECTION( "while they run nothing is unloaded, and the choice stays" ) {
         f.use( "m1", 0, 3 );
-        const auto step = nextStep( f.holdings, want, now + 1s );
+        const auto step = nextStep( f.holdings, required, now + 1s );
         CHECK( step.kind == StepKind::retire );
         CHECK( step.model == "m0" );
     }
     SECTION( "when they have ended it is unloaded" ) {
         f.holdings.models["m0"].running = 0;
-        CHECK( nextStep( f.holdings, want, now + 1s ).kind == StepKind::unload );
+        CHECK( nextStep( f.holdings, required, now + 1s ).kind == StepKind::unload );
     }
     SECTION( "it does not wait for the longest for ever" ) {
-        CHECK( nextStep( f.holdings, want, now + 5s ).kind == StepKind::unload );
+        CHECK( nextStep( f.holdings, required, now + 5s ).kind == StepKind::unload );
     }
 }
 
@@ -206,13 +206,13 @@
         const auto wants = *rc::gen::container<std::vector<std::pair<int, int>>>(
             rc::gen::pair( rc::gen::inRange( 0, 5 ), rc::gen::inRange( 0, 4 ) ) );
         for( const auto& [model, adapter] : wants ) {
-            Want want{ "m" + std::to_string( model ), "", true };
+            RequiredModel required{ "m" + std::to_string( model ), "", true };
             if( adapter > 0 ) {
-                want.adapter = "a" + std::to_string( adapter );
+                required.adapter = "a" + std::to_string( adapter );
             }
             for( int round = 0; round < 10; ++round ) {
                 at += 2s;
-                const auto step = nextStep( f.holdings, want, at );
+                const auto step = nextStep( f.holdings, required, at );
                 if( step.kind != StepKind::load && step.kind != StepKind::unload ) {
                     break;
                 }
@@ -237,7 +237,7 @@
                 RC_ASSERT( usedMb( f.spec, f.report ) <= f.spec.weightsMb );
                 RC_ASSERT( adapters <= 2U );
             }
-            RC_ASSERT( nextStep( f.holdings, want, at ).kind == StepKind::ready );
+            RC_ASSERT( nextStep( f.holdings, required, at ).kind == StepKind::ready );
         }
     } );
 }
@@ -287,10 +287,10 @@
     SentParts parts;
     const std::vector<gateway::SentPart> both{ { 1, 100, "m" }, { 2, 200, "m" } };
     parts.add( both );
-    CHECK( parts.takeNew().size() == 2U );
-    CHECK( parts.takeNew().empty() );
+    CHECK( parts.takeUnpublished().size() == 2U );
+    CHECK( parts.takeUnpublished().empty() );
     parts.add( std::span( both ).first( 1 ) );
-    const auto again = parts.takeNew();
+    const auto again = parts.takeUnpublished();
     REQUIRE( again.size() == 1U );
     CHECK( again[0].key == 1U );
     // A gateway that comes later hears of all, the one used last at the end.
--- a/tests/unit/store_copy.tests.cpp
+++ b/tests/unit/store_copy.tests.cpp
@@ -24,7 +24,7 @@
 constexpr MonoTime start{ 1000s };
 
 Upstream listed( const std::string& id, UpstreamState state, StorePosition created,
-                 Born born = 0 ) {
+                 StartTime born = 0 ) {
     Upstream out;
     out.id = id;
     out.ip = "127.0.0.1";
@@ -45,7 +45,7 @@
     std::unique_ptr<Follower> follower;
 
     Followed() {
-        FollowHandlers handlers;
+        FollowerHandlers handlers;
         handlers.listing = [this]( const auto& objects ) {
             names.clear();
             for( const auto& it : objects ) {
@@ -64,7 +64,7 @@
         handlers.restored = [this] {
             ++restorations;
         };
-        FollowSettings settings;
+        FollowerSettings settings;
         settings.kind = "things";
         settings.wait = 100ms;
         platform::Endpoint endpoint;
@@ -154,9 +154,9 @@
     CHECK( f.restorations == 1 );
     // A relay that still speaks of the former history, and changes of one that this follower does
     // not know, are dropped; the whole of a newer one holds.
-    CHECK_FALSE( f.follower->relayed( { 1, 9000 }, true, MonoTime::max() ) );
-    CHECK_FALSE( f.follower->relayed( { 9, 1 }, false, MonoTime::max() ) );
-    CHECK( f.follower->relayed( { 9, 1 }, true, MonoTime::max() ) );
+    CHECK_FALSE( f.follower->acceptRelayed( { 1, 9000 }, true, MonoTime::max() ) );
+    CHECK_FALSE( f.follower->acceptRelayed( { 9, 1 }, false, MonoTime::max() ) );
+    CHECK( f.follower->acceptRelayed( { 9, 1 }, true, MonoTime::max() ) );
     CHECK( f.restorations == 2 );
     f.follower->stop();
 }
@@ -165,10 +165,10 @@
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{ 2000ms } };
     registry.storeReachable( true, start );
-    registry.list( { listed( "u1", UpstreamState::ready, { 1, 5 } ) }, start );
+    registry.applyListing( { listed( "u1", UpstreamState::ready, { 1, 5 } ) }, start );
     const auto later = start + 60s;
     registry.storeRestored( later );
-    registry.list( {}, later );
+    registry.applyListing( {}, later );
     registry.expire( later + 1900ms );
     CHECK( registry.members().contains( "u1" ) );
     SECTION( "written again it stays" ) {
@@ -186,14 +186,14 @@
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{ 2000ms } };
     registry.storeReachable( true, start );
-    registry.list( { listed( "u1", UpstreamState::draining, { 1, 5 } ) }, start );
+    registry.applyListing( { listed( "u1", UpstreamState::draining, { 1, 5 } ) }, start );
     registry.storeRestored( start + 1s );
-    registry.list( { listed( "u1", UpstreamState::ready, { 2, 5 } ) }, start + 1s );
+    registry.applyListing( { listed( "u1", UpstreamState::ready, { 2, 5 } ) }, start + 1s );
     CHECK( registry.members().at( "u1" ).upstream.state == UpstreamState::draining );
     registry.remove( "u1", start + 2s );
     CHECK_FALSE( registry.members().contains( "u1" ) );
     SECTION( "nor does it come back when it has gone" ) {
-        registry.list( { listed( "u1", UpstreamState::ready, { 3, 5 } ) }, start + 3s );
+        registry.applyListing( { listed( "u1", UpstreamState::ready, { 3, 5 } ) }, start + 3s );
         CHECK_FALSE( registry.members().contains( "u1" ) );
     }
     SECTION( "a later start under its id does" ) {
@@ -205,7 +205,7 @@
 TEST_CASE( "Of two upstreams at one address the one of the newer history holds",
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{} };
-    registry.list( { listed( "lost", UpstreamState::ready, { 1, 900 } ) }, start );
+    registry.applyListing( { listed( "lost", UpstreamState::ready, { 1, 900 } ) }, start );
     registry.put( listed( "present", UpstreamState::ready, { 2, 3 } ), start );
     CHECK( registry.members().contains( "present" ) );
     CHECK_FALSE( registry.members().contains( "lost" ) );
