--- a/src/net/frame_channel.cpp
+++ b/src/net/frame_channel.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 16U << 10U;
+constexpr std::size_t readBufferBytes = 16U << 10U;
 //! Empty buffers with a larger capacity are freed, because most connections are idle most of the
 //! time.
-constexpr std::size_t keptBytes = 1U << 10U;
+constexpr std::size_t maxIdleCapacity = 1U << 10U;
 //! Bytes that may be queued for a peer that does not read, before it is disconnected.
 constexpr std::size_t outboxLimit = 4U << 20U;
 //! HTTP/2 flow-control window of the stream and the connection. It is large because outboxLimit
 //! already bounds the memory that a slow peer takes.
-constexpr std::int32_t windowBytes = 8 << 20;
+constexpr std::int32_t flowWindowBytes = 8 << 20;
 
 nghttp2_nv header( std::string_view name, std::string_view value ) {
     // nghttp2 copies names and values unless a flag says otherwise, and never writes to them.
@@ -31,8 +31,8 @@
     return { nameBytes, valueBytes, name.size(), value.size(), NGHTTP2_NV_FLAG_NONE };
 }
 
-void giveBack( std::string& buf ) {
-    if( buf.empty() && buf.capacity() > keptBytes ) {
+void freeIfEmpty( std::string& buf ) {
+    if( buf.empty() && buf.capacity() > maxIdleCapacity ) {
         std::string().swap( buf );
     }
 }
@@ -40,18 +40,18 @@
 //! One buffer for all connections of a thread: the bytes of one read are processed before the next
 //! read.
 std::span<std::uint8_t> readBuffer() {
-    static thread_local std::array<std::uint8_t, readBytes> buf;
+    static thread_local std::array<std::uint8_t, readBufferBytes> buf;
     return buf;
 }
 
-FrameChannel& self( void* user ) {
+FrameChannel& channelOf( void* user ) {
     return *static_cast<FrameChannel*>( user );
 }
 
 } // namespace
 
 FrameChannel::FrameChannel( Socket socket, ChannelSide side )
-    : m_socket( std::move( socket ) ), m_side( side ), m_lastHeard( MonoClock::now() ) {}
+    : m_socket( std::move( socket ) ), m_side( side ), m_lastReceivedAt( MonoClock::now() ) {}
 
 FrameChannel::~FrameChannel() {
     nghttp2_session_del( m_session );
@@ -63,14 +63,14 @@
     nghttp2_session_callbacks_set_on_frame_recv_callback(
         out, []( nghttp2_session*, const nghttp2_frame* frame, void* user ) {
             if( frame->hd.type == NGHTTP2_HEADERS && frame->headers.cat == NGHTTP2_HCAT_REQUEST ) {
-                self( user ).answer( frame->hd.stream_id );
+                channelOf( user ).sendResponse( frame->hd.stream_id );
             }
             return 0;
         } );
     nghttp2_session_callbacks_set_on_data_chunk_recv_callback(
         out, []( nghttp2_session*, std::uint8_t, std::int32_t, const std::uint8_t* data,
                  std::size_t n, void* user ) {
-            self( user ).onData( { reinterpret_cast<const char*>( data ), n } );
+            channelOf( user ).onData( { reinterpret_cast<const char*>( data ), n } );
             return 0;
         } );
     return out;
@@ -78,10 +78,10 @@
 
 ssize_t FrameChannel::readOutbox( nghttp2_session*, std::int32_t, std::uint8_t* buf, std::size_t n,
                                   std::uint32_t* flags, nghttp2_data_source* source, void* ) {
-    return static_cast<FrameChannel*>( source->ptr )->takeOutbox( buf, n, flags );
+    return static_cast<FrameChannel*>( source->ptr )->copyFromOutbox( buf, n, flags );
 }
 
-ssize_t FrameChannel::takeOutbox( std::uint8_t* buf, std::size_t n, std::uint32_t* ) {
+ssize_t FrameChannel::copyFromOutbox( std::uint8_t* buf, std::size_t n, std::uint32_t* ) {
     const auto taken = std::min( n, m_outbox.size() );
     if( taken == 0 ) {
         return NGHTTP2_ERR_DEFERRED;
@@ -94,7 +94,7 @@
 void FrameChannel::startSession() {
     static nghttp2_session_callbacks* const callbacks = makeCallbacks();
     const std::array<nghttp2_settings_entry, 1> entries{ {
-        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, windowBytes },
+        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, flowWindowBytes },
     } };
     if( m_side == ChannelSide::client ) {
         nghttp2_session_client_new( &m_session, callbacks, this );
@@ -102,7 +102,7 @@
         nghttp2_session_server_new( &m_session, callbacks, this );
     }
     nghttp2_submit_settings( m_session, NGHTTP2_FLAG_NONE, entries.data(), entries.size() );
-    nghttp2_session_set_local_window_size( m_session, NGHTTP2_FLAG_NONE, 0, windowBytes );
+    nghttp2_session_set_local_window_size( m_session, NGHTTP2_FLAG_NONE, 0, flowWindowBytes );
     if( m_side == ChannelSide::client ) {
         const std::array<nghttp2_nv, 4> headers{
             header( ":method", "POST" ), header( ":scheme", "http" ),
@@ -116,7 +116,7 @@
     flush();
 }
 
-void FrameChannel::answer( std::int32_t stream ) {
+void FrameChannel::sendResponse( std::int32_t stream ) {
     if( m_stream != 0 ) {
         return;
     }
@@ -162,26 +162,27 @@
         return;
     }
     const std::uint8_t* data = nullptr;
-    m_sending.clear();
+    m_writeBuffer.clear();
     for( auto n = nghttp2_session_mem_send( m_session, &data ); n > 0;
          n = nghttp2_session_mem_send( m_session, &data ) ) {
-        m_sending.append( reinterpret_cast<const char*>( data ), static_cast<std::size_t>( n ) );
+        m_writeBuffer.append( reinterpret_cast<const char*>( data ),
+                              static_cast<std::size_t>( n ) );
     }
-    giveBack( m_outbox );
-    if( m_sending.empty() ) {
-        giveBack( m_sending );
+    freeIfEmpty( m_outbox );
+    if( m_writeBuffer.empty() ) {
+        freeIfEmpty( m_writeBuffer );
         return;
     }
     m_writing = true;
-    asio::async_write( m_socket, asio::buffer( m_sending ),
-                       [me = shared_from_this()]( ErrorCode ec, std::size_t ) {
-                           me->m_writing = false;
-                           me->m_sending.clear();
+    asio::async_write( m_socket, asio::buffer( m_writeBuffer ),
+                       [self = shared_from_this()]( ErrorCode ec, std::size_t ) {
+                           self->m_writing = false;
+                           self->m_writeBuffer.clear();
                            if( ec ) {
-                               me->close();
+                               self->close();
                                return;
                            }
-                           me->flush();
+                           self->flush();
                        } );
 }
 
@@ -191,7 +192,7 @@
 }
 
 Task<> FrameChannel::run( FrameHandler handler ) {
-    const auto me = shared_from_this();
+    const auto self = shared_from_this();
     m_handler = std::move( handler );
     startSession();
     ErrorCode nonBlocking;
@@ -210,7 +211,7 @@
         if( ec ) {
             break;
         }
-        m_lastHeard = MonoClock::now();
+        m_lastReceivedAt = MonoClock::now();
         m_receiving = true;
         const auto taken = nghttp2_session_mem_recv( m_session, buf.data(), n );
         m_receiving = false;
--- a/src/net/frame_channel.hpp
+++ b/src/net/frame_channel.hpp
@@ -38,14 +38,14 @@
     void close();
     bool open() const { return m_socket.is_open(); }
     //! When bytes were last received.
-    MonoTime lastReceivedAt() const noexcept { return m_lastHeard; }
+    MonoTime lastReceivedAt() const noexcept { return m_lastReceivedAt; }
 
 private:
     void startSession();
     void flush();
     void onData( std::string_view bytes );
-    void answer( std::int32_t stream );
-    ssize_t takeOutbox( std::uint8_t* buf, std::size_t n, std::uint32_t* flags );
+    void sendResponse( std::int32_t stream );
+    ssize_t copyFromOutbox( std::uint8_t* buf, std::size_t n, std::uint32_t* flags );
     static nghttp2_session_callbacks* makeCallbacks();
     static ssize_t readOutbox( nghttp2_session*, std::int32_t, std::uint8_t* buf, std::size_t n,
                                std::uint32_t* flags, nghttp2_data_source* source, void* );
@@ -54,13 +54,13 @@
     ChannelSide m_side;
     nghttp2_session* m_session = nullptr;
     std::int32_t m_stream = 0;
-    std::string m_outbox;  //!< frames that nghttp2 has not taken yet
-    std::string m_sending; //!< bytes that the socket is writing
+    std::string m_outbox;      //!< frames that nghttp2 has not taken yet
+    std::string m_writeBuffer; //!< bytes that the socket is writing
     bool m_writing = false;
     bool m_receiving = false; //!< nghttp2 must not be asked for output inside its callbacks
     peer::FrameReader m_reader;
     FrameHandler m_handler;
-    MonoTime m_lastHeard;
+    MonoTime m_lastReceivedAt;
 };
 
 } // namespace coursehead::net
--- a/src/net/json_client.cpp
+++ b/src/net/json_client.cpp
@@ -34,7 +34,7 @@
 JsonClient::JsonClient( asio::io_context& context, std::string ip, int port )
     : m_context( context ), m_ip( std::move( ip ) ), m_port( port ) {}
 
-void JsonClient::drop() {
+void JsonClient::disconnect() {
     m_socket.reset();
     m_buf.clear();
 }
@@ -69,17 +69,17 @@
     const auto request = makeRequest( call, m_ip );
     http::response_parser<http::string_body> parser;
     parser.body_limit( maxAnswerBytes );
-    bool whole = false;
+    bool complete = false;
     {
         SocketDeadline timer( *m_socket, deadline );
         auto [writeError, written] = co_await http::async_write( *m_socket, request, tupled );
         if( !writeError ) {
             auto [readError, got] = co_await http::async_read( *m_socket, m_buf, parser, tupled );
-            whole = !readError;
+            complete = !readError;
         }
     }
-    if( !whole ) {
-        drop();
+    if( !complete ) {
+        disconnect();
         co_return out;
     }
     out.end = CallOutcome::answered;
@@ -89,18 +89,18 @@
         out.responseHeader = std::string( parser.get()[call.responseHeader] );
     }
     if( !parser.keep_alive() || m_buf.size() > 0 || !m_socket->is_open() ) {
-        drop();
+        disconnect();
     }
     co_return out;
 }
 
 Task<JsonResponse> JsonClient::call( const JsonCall& call ) {
     const auto deadline = MonoClock::now() + call.limit;
-    const bool kept = m_socket != nullptr;
+    const bool reused = m_socket != nullptr;
     auto out = co_await callOnce( call, deadline );
-    const bool again = kept && out.end == CallOutcome::unknown && call.method == "GET" &&
+    const bool retry = reused && out.end == CallOutcome::unknown && call.method == "GET" &&
                        MonoClock::now() < deadline;
-    if( again ) {
+    if( retry ) {
         out = co_await callOnce( call, deadline );
     }
     co_return out;
--- a/src/net/json_client.hpp
+++ b/src/net/json_client.hpp
@@ -48,7 +48,7 @@
 private:
     Task<JsonResponse> callOnce( const JsonCall& call, MonoTime deadline );
     Task<bool> ensureConnected( MonoTime deadline );
-    void drop();
+    void disconnect();
 
     asio::io_context& m_context;
     std::string m_ip;
--- a/src/net/net.cpp
+++ b/src/net/net.cpp
@@ -19,10 +19,10 @@
 
 } // namespace
 
-void configureSocket( Socket& socket, Millis silence ) {
+void configureSocket( Socket& socket, Millis ackTimeout ) {
     ErrorCode ec;
     socket.set_option( tcp::no_delay( true ), ec );
-    const auto ms = static_cast<unsigned>( silence.count() );
+    const auto ms = static_cast<unsigned>( ackTimeout.count() );
     if( ::setsockopt( socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof ms ) !=
         0 ) {
         log::debug( "socket_option_failed", { { "option", "TCP_USER_TIMEOUT" } } );
--- a/src/net/net.hpp
+++ b/src/net/net.hpp
@@ -35,8 +35,9 @@
 using Timer = asio::basic_waitable_timer<MonoClock, asio::wait_traits<MonoClock>,
                                          asio::io_context::executor_type>;
 
-//! Disables Nagle's algorithm, and drops a peer that has not acknowledged sent bytes for `silence`.
-void configureSocket( Socket& socket, Millis silence );
+//! Disables Nagle's algorithm, and drops a peer that has not acknowledged sent bytes for
+//! `ackTimeout`.
+void configureSocket( Socket& socket, Millis ackTimeout );
 //! Makes close() reset the connection from now on. Bytes that have not reached the peer are
 //! discarded, and the peer learns that an answer to those it has read is no longer wanted.
 void resetOnClose( Socket& socket );
--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -15,87 +15,89 @@
 // prompt reading is not limited; above the second it is limited again. The pauses are measured
 // mostly with short prompts, and long prompts lengthen them further: an upper part of 0.75 let
 // streams miss the gap target, and a loaded day lost 4% of its score.
-constexpr double freePart = 0.5;
-constexpr double limitPart = 0.65;
+constexpr double liftLimitPart = 0.5;
+constexpr double restoreLimitPart = 0.65;
 
 } // namespace
 
-Admission::Admission( net::asio::io_context& context, Callbacks host )
-    : m_host( std::move( host ) ), m_timer( context ) {}
+Admission::Admission( net::asio::io_context& context, Callbacks callbacks )
+    : m_callbacks( std::move( callbacks ) ), m_timer( context ) {}
 
 void Admission::setEngine( std::int64_t cacheTokens, Millis gapTarget ) {
     m_cacheTokens = cacheTokens;
     m_gapTarget = gapTarget;
-    limitReading();
+    updateReadingLimit();
 }
 
 //! Limits prompt reading to a part of the engine's time, so that streams meet their gap target.
 //! Lifts the limit while streams meet it without.
-void Admission::limitReading() {
+void Admission::updateReadingLimit() {
     const auto pause = m_eventPace.pauseWhileReading();
-    const auto longest = m_gapTarget * ( m_readsFreely ? limitPart : freePart );
+    const auto longest = m_gapTarget * ( m_readingUnlimited ? restoreLimitPart : liftLimitPart );
     const bool inTime = pause && *pause <= longest;
-    if( inTime != m_readsFreely ) {
+    if( inTime != m_readingUnlimited ) {
         log::info( inTime ? "reading_free" : "reading_limited",
                    { { "pause_ms", pause ? pause->count() : -1 },
                      { "gap_target_ms", m_gapTarget.count() } } );
-        m_readsFreely = inTime;
+        m_readingUnlimited = inTime;
     }
     m_gate.setEngine( m_cacheTokens, inTime ? Millis{ 0 } : m_gapTarget );
 }
 
 void Admission::admit( PendingEnsure ensure ) {
     if( ensure.prompt.tokens == 0 ) {
-        m_host.answer( ensure, EnsureOutcome::ready, Millis{ 0 }, 0 );
+        m_callbacks.answer( ensure, EnsureOutcome::ready, Millis{ 0 }, 0 );
         return;
     }
     const auto now = MonoClock::now();
-    const auto cold = m_cold.wait( m_coldPerS, now );
-    if( cold.count() > 0 ) {
-        m_host.answer( ensure, EnsureOutcome::tooLate, cold, 0 );
+    const auto coldWait = m_coldGate.wait( m_coldPerS, now );
+    if( coldWait.count() > 0 ) {
+        m_callbacks.answer( ensure, EnsureOutcome::tooLate, coldWait, 0 );
         return;
     }
     const PromptRequest ask{ ensure.key,    ensure.required.model, ensure.required.adapter,
                              ensure.prompt, ensure.since,          ensure.limit };
     const auto verdict = m_gate.ask( ask, now );
     if( !verdict.accepted ) {
-        m_host.answer( ensure, EnsureOutcome::tooLate, verdict.wait, 0 );
+        m_callbacks.answer( ensure, EnsureOutcome::tooLate, verdict.wait, 0 );
         return;
     }
     m_waiting.emplace( ensure.key, std::move( ensure ) );
-    letThrough();
+    admitDue();
 }
 
 //! Admits the prompts that are due, and sets the timer for the next one.
-void Admission::letThrough() {
+void Admission::admitDue() {
     const auto now = MonoClock::now();
-    for( const auto& leave : m_gate.takeAdmitted( now ) ) {
-        auto node = m_waiting.extract( leave.key );
-        if( node.empty() ) {
+    for( const auto& permit : m_gate.takeAdmitted( now ) ) {
+        auto entry = m_waiting.extract( permit.key );
+        if( entry.empty() ) {
             continue;
         }
-        auto& ensure = node.mapped();
-        if( !m_host.isResident( ensure.required ) ) {
-            m_gate.withdraw( leave.key, now );
-            m_host.notResident( std::move( ensure ) );
+        auto& ensure = entry.mapped();
+        if( !m_callbacks.isResident( ensure.required ) ) {
+            m_gate.withdraw( permit.key, now );
+            m_callbacks.notResident( std::move( ensure ) );
             continue;
         }
-        const auto cold = m_cold.wait( m_coldPerS, now );
-        if( cold.count() > 0 ) {
-            m_gate.withdraw( leave.key, now );
-            m_host.answer( ensure, EnsureOutcome::tooLate, cold, 0 );
+        const auto coldWait = m_coldGate.wait( m_coldPerS, now );
+        if( coldWait.count() > 0 ) {
+            m_gate.withdraw( permit.key, now );
+            m_callbacks.answer( ensure, EnsureOutcome::tooLate, coldWait, 0 );
             continue;
         }
-        if( m_cold.isCold( now ) ) {
-            m_cold.take( now );
+        if( m_coldGate.isCold( now ) ) {
+            m_coldGate.take( now );
         }
-        m_host.admitted( ensure );
-        m_host.answer( ensure, EnsureOutcome::ready, m_gate.usualWait( now ), leave.workMs );
+        m_callbacks.admitted( ensure );
+        m_callbacks.answer( ensure, EnsureOutcome::ready, m_gate.typicalWait( now ),
+                            permit.workMs );
     }
     for( const auto key : m_gate.takeExpired( now ) ) {
-        const auto node = m_waiting.extract( key );
-        if( !node.empty() ) {
-            m_host.answer( node.mapped(), EnsureOutcome::tooLate, m_gate.usualWait( now ), 0 );
+        const auto entry = m_waiting.extract( key );
+        if( !entry.empty() ) {
+            m_callbacks.answer( entry.mapped(), EnsureOutcome::tooLate, m_gate.typicalWait( now ),
+                                0 );
         }
     }
     const auto next = m_gate.nextAt( now );
@@ -106,7 +108,7 @@
     m_timer.expires_at( *next );
     m_timer.async_wait( [this]( net::ErrorCode ec ) {
         if( !ec ) {
-            letThrough();
+            admitDue();
         }
     } );
 }
@@ -115,34 +117,34 @@
     const auto unread = report.queued + report.prefilling;
     if( m_gapTarget.count() > 0 ) {
         m_eventPace.update( report.runs, unread > 0, now );
-        limitReading();
+        updateReadingLimit();
     }
     m_gate.noteUnread( unread, now );
-    letThrough();
+    admitDue();
 }
 
 void Admission::forget( std::uint64_t key ) {
     m_waiting.erase( key );
     m_gate.withdraw( key, MonoClock::now() );
-    letThrough();
+    admitDue();
 }
 
 void Admission::forgetPeer( const Peer& peer ) {
     const auto now = MonoClock::now();
     std::erase_if( m_waiting, [&]( const auto& it ) {
-        const bool gone = it.first == keyOf( peer, it.second.number );
+        const bool gone = it.first == ensureKey( peer, it.second.number );
         if( gone ) {
             m_gate.withdraw( it.first, now );
         }
         return gone;
     } );
-    letThrough();
+    admitDue();
 }
 
 void Admission::failAll() {
     m_gate.clear();
     for( const auto& it : std::exchange( m_waiting, {} ) ) {
-        m_host.answer( it.second, EnsureOutcome::failed, Millis{ 0 }, 0 );
+        m_callbacks.answer( it.second, EnsureOutcome::failed, Millis{ 0 }, 0 );
     }
 }
 
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -30,13 +30,13 @@
         std::function<void( const PendingEnsure& ensure )> admitted; //!< its prompt is admitted now
     };
 
-    Admission( net::asio::io_context& context, Callbacks host );
+    Admission( net::asio::io_context& context, Callbacks callbacks );
 
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! Takes from a gateway how long the engine stays cold, and how many prompts a second it may be
     //! sent until then.
     void noteCold( Millis left, double perS, MonoTime now ) {
-        m_cold.noteCold( left, now );
+        m_coldGate.noteCold( left, now );
         m_coldPerS = perS;
     }
     //! Queues the prompt of an ensure request, or answers the request at once.
@@ -53,23 +53,23 @@
     //! The engine has unloaded a model.
     void dropModel( const std::string& model ) { m_gate.dropModel( model ); }
 
-    Millis usualWait( MonoTime now ) const { return m_gate.usualWait( now ); }
+    Millis typicalWait( MonoTime now ) const { return m_gate.typicalWait( now ); }
     bool busy( MonoTime now ) const { return m_gate.busy( now ); }
 
 private:
-    void letThrough();
-    void limitReading();
+    void admitDue();
+    void updateReadingLimit();
 
-    Callbacks m_host;
+    Callbacks m_callbacks;
     net::Timer m_timer;
     PromptGate m_gate;
     decide::EventPace m_eventPace;
     std::map<std::uint64_t, PendingEnsure> m_waiting; //!< by key
-    decide::ColdGate m_cold;
+    decide::ColdGate m_coldGate;
     double m_coldPerS = 0; //!< prompts a second while the engine is cold; 0: no limit
     std::int64_t m_cacheTokens = 0;
     Millis m_gapTarget{ 0 };
-    bool m_readsFreely = false; //!< reading is not limited: streams meet the gap target anyway
+    bool m_readingUnlimited = false; //!< reading is not limited: streams meet the gap target anyway
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -25,7 +25,8 @@
     co_return platform::readEngineReport( answer.body );
 }
 
-net::Task<EngineClient::Given> EngineClient::give( platform::Order order, std::string upstreamId ) {
+net::Task<EngineClient::OrderAnswer> EngineClient::sendOrder( platform::Order order,
+                                                              std::string upstreamId ) {
     net::JsonCall call;
     call.method = "POST";
     call.target = std::string( platform::orderPath );
@@ -34,7 +35,7 @@
     call.limit = orderLimit;
     call.responseHeader = std::string( platform::actualUpstreamHeader() );
     const auto answer = co_await m_http.call( call );
-    Given out;
+    OrderAnswer out;
     switch( answer.end ) {
     case net::CallOutcome::answered:
         out.verdict = platform::orderVerdict( answer.status );
--- a/src/sidecar/engine_client.hpp
+++ b/src/sidecar/engine_client.hpp
@@ -19,12 +19,12 @@
     //! Requests the engine's report; nullopt when the engine does not answer.
     net::Task<std::optional<gateway::EngineReport>> report();
     //! The engine's answer to an order.
-    struct Given {
+    struct OrderAnswer {
         platform::OrderVerdict verdict = platform::OrderVerdict::unknown;
         std::string actualUpstream; //!< with `moved`: id of the engine's present start, if given
     };
     //! Sends an order that only the named start of the engine accepts.
-    net::Task<Given> give( platform::Order order, std::string upstreamId );
+    net::Task<OrderAnswer> sendOrder( platform::Order order, std::string upstreamId );
 
 private:
     net::JsonClient m_http;
--- a/src/sidecar/engine_view.cpp
+++ b/src/sidecar/engine_view.cpp
@@ -12,11 +12,11 @@
 
 //! Time over which admitted requests are counted. Models in occasional use are requested every few
 //! seconds.
-constexpr Millis useMemory{ 8000 };
+constexpr Millis requestRateWindow{ 8000 };
 //! Time over which prompt reading is counted; gateways smooth the demand that they report alike.
-constexpr Millis workMemory{ 2000 };
+constexpr Millis workRateWindow{ 2000 };
 
-bool holds( const gateway::EngineReport& report, std::string_view model ) {
+bool holdsModel( const gateway::EngineReport& report, std::string_view model ) {
     return std::any_of( report.residents.begin(), report.residents.end(),
                         [model]( const auto& it ) { return it.model == model; } );
 }
@@ -27,29 +27,29 @@
 
 } // namespace
 
-EngineView::News EngineView::take( gateway::EngineReport report, MonoTime now ) {
-    News out;
+EngineView::ReportChanges EngineView::take( gateway::EngineReport report, MonoTime now ) {
+    ReportChanges out;
     out.restarted = gateway::isOlderStart( m_report.born, report.born );
     if( out.restarted ) {
-        forgetStart();
+        resetForRestart();
     }
     for( const auto& it : report.residents ) {
-        if( !holds( m_report, it.model ) ) {
+        if( !holdsModel( m_report, it.model ) ) {
             m_loadedAt[it.model] = m_report.residents.empty() ? MonoTime{} : now;
         }
     }
     for( const auto& it : m_report.residents ) {
-        if( !holds( report, it.model ) ) {
-            out.dropped.push_back( it.model );
+        if( !holdsModel( report, it.model ) ) {
+            out.droppedModels.push_back( it.model );
         }
     }
     if( report.residents.empty() ) {
         out.startedEmpty = !m_reported;
-        out.lost = std::exchange( m_lastHeld, {} );
+        out.lostModels = std::exchange( m_lastResidentModels, {} );
     } else {
-        m_lastHeld.clear();
+        m_lastResidentModels.clear();
         for( const auto& it : report.residents ) {
-            m_lastHeld.push_back( { it.model, useOf( it.model, now ).copies } );
+            m_lastResidentModels.push_back( { it.model, usageOf( it.model, now ).copies } );
         }
     }
     m_reported = true;
@@ -58,25 +58,25 @@
     return out;
 }
 
-void EngineView::forgetStart() {
+void EngineView::resetForRestart() {
     m_loadedAt.clear();
-    m_letIn.clear();
-    m_letInWork.clear();
+    m_admittedRequests.clear();
+    m_admittedWork.clear();
     m_adapterUses.clear();
     m_unloads.clear();
     m_retiring.clear();
 }
 
-bool EngineView::hearsAll() const {
-    constexpr double most = 0.8;
+bool EngineView::mostGatewaysConnected() const {
+    constexpr double minConnectedShare = 0.8;
     int gateways = 1;
     for( const auto& peer : m_peers ) {
         gateways = std::max( gateways, peer->gateways );
     }
-    return static_cast<double>( m_peers.size() ) >= most * gateways;
+    return static_cast<double>( m_peers.size() ) >= minConnectedShare * gateways;
 }
 
-Usage EngineView::useOf( const std::string& model, MonoTime now ) const {
+Usage EngineView::usageOf( const std::string& model, MonoTime now ) const {
     Usage out;
     for( const auto& peer : m_peers ) {
         const auto found = peer->demand.find( model );
@@ -86,9 +86,9 @@
             out.running += found->second.running;
         }
     }
-    const auto letIn = m_letIn.find( model );
-    if( letIn != m_letIn.end() && !hearsAll() ) {
-        out.perS = std::max( out.perS, letIn->second.perS( now ) * std::max( out.copies, 1 ) );
+    const auto admitted = m_admittedRequests.find( model );
+    if( admitted != m_admittedRequests.end() && !mostGatewaysConnected() ) {
+        out.perS = std::max( out.perS, admitted->second.perS( now ) * std::max( out.copies, 1 ) );
     }
     const auto loaded = m_loadedAt.find( model );
     out.loadedAt = loaded == m_loadedAt.end() ? MonoTime{} : loaded->second;
@@ -105,17 +105,17 @@
             copies = std::max( copies, it->second.copies );
         }
     }
-    const auto own = m_letInWork.find( model );
-    const bool known = own != m_letInWork.end() && !hearsAll();
-    return known ? std::max( out, own->second.perS( now ) * copies ) : out;
+    const auto admittedWork = m_admittedWork.find( model );
+    const bool known = admittedWork != m_admittedWork.end() && !mostGatewaysConnected();
+    return known ? std::max( out, admittedWork->second.perS( now ) * copies ) : out;
 }
 
-ResidencyState EngineView::holdings( MonoTime now ) const {
+ResidencyState EngineView::residencyState( MonoTime now ) const {
     ResidencyState out;
     out.engine = &*m_spec;
     out.report = &m_report;
     for( const auto& it : m_report.residents ) {
-        out.models.emplace( it.model, useOf( it.model, now ) );
+        out.models.emplace( it.model, usageOf( it.model, now ) );
     }
     out.retiring = m_retiring;
     out.retiringSince = m_retiringSince;
@@ -132,7 +132,7 @@
 }
 
 bool EngineView::isResident( const RequiredModel& required, MonoTime now ) const {
-    return nextStep( holdings( now ), required, now ).kind == StepKind::ready;
+    return nextStep( residencyState( now ), required, now ).kind == StepKind::ready;
 }
 
 bool EngineView::hasWeights( std::string_view model ) const {
@@ -145,9 +145,9 @@
     }
 }
 
-void EngineView::noteLetIn( const std::string& model, double workMs, MonoTime now ) {
-    m_letIn.try_emplace( model, useMemory ).first->second.note( 1, now );
-    m_letInWork.try_emplace( model, workMemory ).first->second.note( workMs, now );
+void EngineView::noteAdmitted( const std::string& model, double workMs, MonoTime now ) {
+    m_admittedRequests.try_emplace( model, requestRateWindow ).first->second.note( 1, now );
+    m_admittedWork.try_emplace( model, workRateWindow ).first->second.note( workMs, now );
 }
 
 void EngineView::noteDemand( const gateway::DemandUpdate& news, MonoTime now ) {
--- a/src/sidecar/orders.cpp
+++ b/src/sidecar/orders.cpp
@@ -19,14 +19,14 @@
 
 //! An ensure request that the engine has no capacity for is answered after this time, so that the
 //! gateway can try another engine.
-constexpr Millis roomLimit{ 400 };
+constexpr Millis capacityWaitLimit{ 400 };
 //! An adapter loads within some ten milliseconds; after this time the gateway should try another
 //! engine.
-constexpr Millis adapterLimit{ 500 };
+constexpr Millis adapterWaitLimit{ 500 };
 //! Number of earlier engine starts that are kept.
-constexpr std::size_t maxFormer = 4;
-constexpr Millis storeLimit{ 1000 };
-constexpr Millis storeRetry{ 300 };
+constexpr std::size_t maxFormerStarts = 4;
+constexpr Millis storeCallLimit{ 1000 };
+constexpr Millis storeRetryDelay{ 300 };
 //! A kind of this project that has no objects; listing it only reads the store's revision.
 constexpr std::string_view fenceKind = "fences";
 
@@ -42,7 +42,8 @@
     case StepKind::unloading:
         return EnsureOutcome::noCapacity;
     case StepKind::noCapacity:
-        return waited > roomLimit ? std::optional( EnsureOutcome::noCapacity ) : std::nullopt;
+        return waited > capacityWaitLimit ? std::optional( EnsureOutcome::noCapacity )
+                                          : std::nullopt;
     case StepKind::wait:
     case StepKind::load:
     case StepKind::unload:
@@ -52,122 +53,122 @@
     return waited > limit ? std::optional( EnsureOutcome::failed ) : std::nullopt;
 }
 
-Millis limitOf( const PendingEnsure& ensure, const ResidencyState& held ) {
-    const bool adapterOnly = held.models.contains( ensure.required.model );
-    return adapterOnly ? std::min( ensure.limit, adapterLimit ) : ensure.limit;
+Millis waitLimitOf( const PendingEnsure& ensure, const ResidencyState& state ) {
+    const bool adapterOnly = state.models.contains( ensure.required.model );
+    return adapterOnly ? std::min( ensure.limit, adapterWaitLimit ) : ensure.limit;
 }
 
 } // namespace
 
 Orders::Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
                 EngineClient& engine, EngineView& view, RandomSource& random,
-                metrics::Metrics& metrics, Callbacks host )
+                metrics::Metrics& metrics, Callbacks callbacks )
     : m_context( context ), m_settings( settings ), m_engine( engine ), m_view( view ),
-      m_random( random ), m_metrics( metrics ), m_host( std::move( host ) ) {}
+      m_random( random ), m_metrics( metrics ), m_callbacks( std::move( callbacks ) ) {}
 
 void Orders::start() {
     if( m_settings.firstStart ) {
         // No earlier start of this sidecar has sent orders, so there is no token to exceed.
-        m_fence = decide::firstFencingToken;
-        log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fence ) } } );
+        m_fencingToken = decide::firstFencingToken;
+        log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fencingToken ) } } );
         return;
     }
-    net::start( m_context, obtainFence(), "fence" );
+    net::start( m_context, obtainFencingToken(), "fence" );
 }
 
 //! Obtains the fencing token from the store: a number that only rises across the restarts of this
 //! VM, and that no other VM is given for an engine.
-net::Task<> Orders::obtainFence() {
+net::Task<> Orders::obtainFencingToken() {
     platform::StoreClient store( m_context, m_settings.store, &m_metrics );
     for( ;; ) {
-        const auto result = co_await store.list( fenceKind, storeLimit );
+        const auto result = co_await store.list( fenceKind, storeCallLimit );
         if( result.status == platform::StoreStatus::ok ) {
-            m_fence = decide::fencingToken( result.position );
-            log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fence ) } } );
+            m_fencingToken = decide::fencingToken( result.position );
+            log::info( "fence", { { "fence", static_cast<std::int64_t>( m_fencingToken ) } } );
             co_return;
         }
-        co_await net::pause( m_context, storeRetry );
+        co_await net::pause( m_context, storeRetryDelay );
     }
 }
 
 void Orders::add( PendingEnsure ensure ) {
-    ensure.loaded = true;
-    m_wants.push_back( std::move( ensure ) );
+    ensure.neededLoad = true;
+    m_waiting.push_back( std::move( ensure ) );
 }
 
 void Orders::forget( std::uint64_t key ) {
-    m_wants.remove_if( [key]( const auto& it ) { return it.key == key; } );
+    m_waiting.remove_if( [key]( const auto& it ) { return it.key == key; } );
 }
 
 void Orders::forgetPeer( const Peer& peer ) {
-    m_wants.remove_if(
-        [&peer]( const PendingEnsure& it ) { return it.key == keyOf( peer, it.number ); } );
+    m_waiting.remove_if(
+        [&peer]( const PendingEnsure& it ) { return it.key == ensureKey( peer, it.number ); } );
 }
 
-void Orders::fail( const std::function<bool( const PendingEnsure& ensure )>& which ) {
-    m_wants.remove_if( [&]( const PendingEnsure& it ) {
-        const bool fails = which( it );
-        if( fails ) {
-            m_host.answer( it, EnsureOutcome::failed );
+void Orders::failMatching( const std::function<bool( const PendingEnsure& ensure )>& matches ) {
+    m_waiting.remove_if( [&]( const PendingEnsure& it ) {
+        const bool matched = matches( it );
+        if( matched ) {
+            m_callbacks.answer( it, EnsureOutcome::failed );
         }
-        return fails;
+        return matched;
     } );
 }
 
-void Orders::dropOld() {
+void Orders::failOverdue() {
     const auto now = MonoClock::now();
-    fail( [now]( const PendingEnsure& it ) { return now - it.since > roomLimit; } );
+    failMatching( [now]( const PendingEnsure& it ) { return now - it.since > capacityWaitLimit; } );
 }
 
-void Orders::modelRestore( std::vector<decide::PreviousModel> lost ) {
-    m_recall = { std::move( lost ), false };
-    log::info( "recall", { { "models", static_cast<std::int64_t>( m_recall.models.size() ) },
+void Orders::restoreModels( std::vector<decide::PreviousModel> lostModels ) {
+    m_modelRestore = { std::move( lostModels ), false };
+    log::info( "recall", { { "models", static_cast<std::int64_t>( m_modelRestore.models.size() ) },
                            { "from", "memory" } } );
 }
 
-void Orders::recallFromStore() {
-    net::start( m_context, readFormer(), "recall" );
+void Orders::restoreModelsFromStore() {
+    net::start( m_context, readFormerModels(), "recall" );
 }
 
 //! Reads from the store's list what this VM's engine held, and how many copies of each model
 //! engines held, before a power loss. A list that is seconds old names the former contents for
 //! longest.
-net::Task<> Orders::readFormer() {
+net::Task<> Orders::readFormerModels() {
     platform::StoreClient store( m_context, m_settings.store, &m_metrics );
-    const auto result =
-        co_await store.list( platform::upstreamKind, storeLimit, platform::ListAge::secondsOld );
+    const auto result = co_await store.list( platform::upstreamKind, storeCallLimit,
+                                             platform::ListAge::secondsOld );
     gateway::ObjectReader reader;
     std::map<std::string, int> copies;
-    std::set<std::string> mine;
+    std::set<std::string> heldHere;
     for( const auto& object : result.objects ) {
         const auto upstream = reader.upstream( object );
         if( !upstream ) {
             continue;
         }
         const auto& engine = m_settings.engine;
-        const bool here = upstream->ip == engine.ip && upstream->port == engine.port;
+        const bool isThisEngine = upstream->ip == engine.ip && upstream->port == engine.port;
         for( const auto& it : upstream->residents ) {
             ++copies[it.model];
-            if( here ) {
-                mine.insert( it.model );
+            if( isThisEngine ) {
+                heldHere.insert( it.model );
             }
         }
     }
-    m_recall.allEngines = true;
-    for( const auto& it : mine ) {
-        m_recall.models.push_back( { it, copies[it] } );
+    m_modelRestore.allEngines = true;
+    for( const auto& it : heldHere ) {
+        m_modelRestore.models.push_back( { it, copies[it] } );
     }
-    log::info( "recall",
-               { { "models", static_cast<std::int64_t>( mine.size() ) }, { "from", "store" } } );
+    log::info( "recall", { { "models", static_cast<std::int64_t>( heldHere.size() ) },
+                           { "from", "store" } } );
 }
 
 //! Next load of a model that the engine held before it restarted; only into free capacity.
-std::optional<Step> Orders::recallStep( const ResidencyState& held, MonoTime now ) {
+std::optional<Step> Orders::modelRestoreStep( const ResidencyState& state, MonoTime now ) {
     const auto isLocal = [this]( std::string_view model ) {
         return m_view.hasWeights( model );
     };
-    while( const auto model = decide::takeNextModel( m_recall, isLocal, m_random.unit() ) ) {
-        const auto step = nextStep( held, { *model, "", false }, now );
+    while( const auto model = decide::takeNextModel( m_modelRestore, isLocal, m_random.unit() ) ) {
+        const auto step = nextStep( state, { *model, "", false }, now );
         if( step.kind == StepKind::load ) {
             return step;
         }
@@ -175,55 +176,55 @@
     return std::nullopt;
 }
 
-net::Task<> Orders::serve() {
+net::Task<> Orders::processWaiting() {
     std::optional<Step> order;
     std::string upstreamId;
     std::string retire;
     const auto now = MonoClock::now();
-    const auto held = m_view.holdings( now );
-    for( auto it = m_wants.begin(); it != m_wants.end(); ) {
+    const auto state = m_view.residencyState( now );
+    for( auto it = m_waiting.begin(); it != m_waiting.end(); ) {
         const auto waited = remaining( it->since, now );
         RequiredModel required = it->required;
         required.fromStore = required.fromStore && waited <= gateway::storeGrantLifetime;
-        const auto step = nextStep( held, required, now );
-        if( const auto outcome = outcomeOf( step.kind, waited, limitOf( *it, held ) ) ) {
+        const auto step = nextStep( state, required, now );
+        if( const auto outcome = outcomeOf( step.kind, waited, waitLimitOf( *it, state ) ) ) {
             PendingEnsure ensure = std::move( *it );
-            it = m_wants.erase( it );
+            it = m_waiting.erase( it );
             if( *outcome == EnsureOutcome::ready ) {
-                m_host.ready( std::move( ensure ) );
+                m_callbacks.ready( std::move( ensure ) );
             } else {
-                m_host.answer( ensure, *outcome );
+                m_callbacks.answer( ensure, *outcome );
             }
             continue;
         }
         if( step.kind == StepKind::retire ) {
             retire = step.model;
         }
-        const bool orders = step.kind == StepKind::load || step.kind == StepKind::unload;
+        const bool needsOrder = step.kind == StepKind::load || step.kind == StepKind::unload;
         // Adapters go first: they load within milliseconds.
-        if( orders && ( !order || ( order->adapter.empty() && !step.adapter.empty() ) ) ) {
+        if( needsOrder && ( !order || ( order->adapter.empty() && !step.adapter.empty() ) ) ) {
             order = step;
             upstreamId = it->upstreamId;
         }
         ++it;
     }
     if( m_view.setRetiring( retire, now ) ) {
-        m_host.changed();
+        m_callbacks.changed();
     }
-    if( m_fence == 0 ) {
+    if( m_fencingToken == 0 ) {
         co_return;
     }
-    if( !order && !held.report->orderInProgress ) {
-        order = recallStep( held, now );
+    if( !order && !state.report->orderInProgress ) {
+        order = modelRestoreStep( state, now );
         upstreamId = m_engineId;
     }
     if( order ) {
         const Step step = *order;
-        co_await give( step, upstreamId );
+        co_await sendOrder( step, upstreamId );
     }
 }
 
-net::Task<> Orders::give( Step step, std::string upstreamId ) {
+net::Task<> Orders::sendOrder( Step step, std::string upstreamId ) {
     platform::Order order;
     order.kind =
         step.kind == StepKind::load ? platform::OrderKind::load : platform::OrderKind::unload;
@@ -231,19 +232,19 @@
     order.adapter = step.adapter;
     order.expectedSequence = m_view.report().sequence;
     order.holder = m_settings.vm;
-    order.fence = m_fence;
-    m_orderAt = MonoClock::now();
-    const auto given = co_await m_engine.give( order, upstreamId );
-    const auto verdict = given.verdict;
+    order.fence = m_fencingToken;
+    m_lastOrderAt = MonoClock::now();
+    const auto orderAnswer = co_await m_engine.sendOrder( order, upstreamId );
+    const auto verdict = orderAnswer.verdict;
     if( verdict == platform::OrderVerdict::moved ) {
-        noteMoved( upstreamId, given.actualUpstream );
+        handleRestart( upstreamId, orderAnswer.actualUpstream );
     }
-    const bool mayBeTaken = verdict == platform::OrderVerdict::underWay ||
-                            verdict == platform::OrderVerdict::holds ||
-                            verdict == platform::OrderVerdict::unknown;
-    if( step.kind == StepKind::unload && mayBeTaken ) {
+    const bool mayBeAccepted = verdict == platform::OrderVerdict::underWay ||
+                               verdict == platform::OrderVerdict::holds ||
+                               verdict == platform::OrderVerdict::unknown;
+    if( step.kind == StepKind::unload && mayBeAccepted ) {
         m_view.noteUnload( step, MonoClock::now() );
-        m_host.changed();
+        m_callbacks.changed();
     }
     m_metrics.count( "orders", platform::nameOf( verdict ) );
     log::info( "order", { { "kind", step.kind == StepKind::load ? "load" : "unload" },
@@ -256,17 +257,18 @@
 
 //! Handles an order refused because the engine has restarted: records its former start, and fails
 //! the ensure requests that wait for it.
-void Orders::noteMoved( const std::string& meant, const std::string& actual ) {
-    log::info( "engine_restarted", { { "before", meant }, { "now", actual } } );
-    if( !actual.empty() ) {
-        m_engineId = actual;
+void Orders::handleRestart( const std::string& expectedStart, const std::string& actualStart ) {
+    log::info( "engine_restarted", { { "before", expectedStart }, { "now", actualStart } } );
+    if( !actualStart.empty() ) {
+        m_engineId = actualStart;
     }
-    m_former.push_back( meant );
-    if( m_former.size() > maxFormer ) {
-        m_former.erase( m_former.begin() );
+    m_formerStarts.push_back( expectedStart );
+    if( m_formerStarts.size() > maxFormerStarts ) {
+        m_formerStarts.erase( m_formerStarts.begin() );
     }
-    m_host.changed();
-    fail( [&meant]( const PendingEnsure& it ) { return it.upstreamId == meant; } );
+    m_callbacks.changed();
+    failMatching(
+        [&expectedStart]( const PendingEnsure& it ) { return it.upstreamId == expectedStart; } );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/orders.hpp
+++ b/src/sidecar/orders.hpp
@@ -30,7 +30,7 @@
 
     Orders( net::asio::io_context& context, const platform::NodeSettings& settings,
             EngineClient& engine, EngineView& view, RandomSource& random, metrics::Metrics& metrics,
-            Callbacks host );
+            Callbacks callbacks );
 
     //! Starts to obtain the fencing token; no order is sent without it. On the deployment's first
     //! start the token is a constant, and the store is not called.
@@ -39,35 +39,35 @@
     void add( PendingEnsure ensure );
     void forget( std::uint64_t key );
     void forgetPeer( const Peer& peer );
-    bool waiting() const noexcept { return !m_wants.empty(); }
+    bool waiting() const noexcept { return !m_waiting.empty(); }
 
     //! Sets the id of the engine's present start, as reported by gateways.
     void setEngine( const std::string& upstreamId ) { m_engineId = upstreamId; }
     //! Loads models again that the engine held before it restarted empty.
-    void modelRestore( std::vector<decide::PreviousModel> lost );
+    void restoreModels( std::vector<decide::PreviousModel> lostModels );
     //! Likewise when this process has just started and did not see what the engine held: takes the
     //! models from the engine's entry in the store.
-    void recallFromStore();
+    void restoreModelsFromStore();
     //! Answers the ensure requests that can be answered now, and sends the next order.
-    net::Task<> serve();
+    net::Task<> processWaiting();
     //! Fails the ensure requests that have waited too long for an engine that does not answer, so
     //! that gateways try another one.
-    void dropOld();
+    void failOverdue();
 
     //! Ids of the engine's earlier starts, oldest first.
-    const std::vector<std::string>& former() const noexcept { return m_former; }
+    const std::vector<std::string>& formerStarts() const noexcept { return m_formerStarts; }
     //! Milliseconds since the last order was sent; -1 before the first.
     std::int64_t lastOrderAge( MonoTime now ) const {
-        return m_orderAt ? millisBetween( *m_orderAt, now ) : -1;
+        return m_lastOrderAt ? millisBetween( *m_lastOrderAt, now ) : -1;
     }
 
 private:
-    net::Task<> obtainFence();
-    net::Task<> readFormer();
-    std::optional<Step> recallStep( const ResidencyState& held, MonoTime now );
-    net::Task<> give( Step step, std::string upstreamId );
-    void noteMoved( const std::string& meant, const std::string& actual );
-    void fail( const std::function<bool( const PendingEnsure& ensure )>& which );
+    net::Task<> obtainFencingToken();
+    net::Task<> readFormerModels();
+    std::optional<Step> modelRestoreStep( const ResidencyState& state, MonoTime now );
+    net::Task<> sendOrder( Step step, std::string upstreamId );
+    void handleRestart( const std::string& expectedStart, const std::string& actualStart );
+    void failMatching( const std::function<bool( const PendingEnsure& ensure )>& matches );
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
@@ -75,13 +75,13 @@
     EngineView& m_view;
     RandomSource& m_random;
     metrics::Metrics& m_metrics;
-    Callbacks m_host;
-    std::list<PendingEnsure> m_wants;
-    std::uint64_t m_fence = 0; //!< 0: none yet
-    std::string m_engineId;    //!< id of the engine's present start, as far as known
-    std::vector<std::string> m_former;
-    std::optional<MonoTime> m_orderAt; //!< when the last order was sent
-    decide::ModelRestore m_recall;
+    Callbacks m_callbacks;
+    std::list<PendingEnsure> m_waiting;
+    std::uint64_t m_fencingToken = 0; //!< 0: none yet
+    std::string m_engineId;           //!< id of the engine's present start, as far as known
+    std::vector<std::string> m_formerStarts;
+    std::optional<MonoTime> m_lastOrderAt; //!< when the last order was sent
+    decide::ModelRestore m_modelRestore;
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/pause_meter.cpp
+++ b/src/sidecar/pause_meter.cpp
@@ -12,16 +12,16 @@
 constexpr double halfLifeS = 2.0;
 //! Streams in time that are added to every engine's count, so that a single late stream is not a
 //! large share.
-constexpr double credit = 2.0;
+constexpr double creditedStreams = 2.0;
 
-double fadeFactor( MonoTime from, MonoTime to ) {
+double decayFactor( MonoTime from, MonoTime to ) {
     return std::exp2( -std::chrono::duration<double>( to - from ).count() / halfLifeS );
 }
 
 } // namespace
 
-void PauseMeter::fade( MonoTime now ) {
-    const double factor = fadeFactor( m_counts.at, now );
+void PauseMeter::decay( MonoTime now ) {
+    const double factor = decayFactor( m_counts.at, now );
     m_counts.all *= factor;
     m_counts.late *= factor;
     m_counts.at = now;
@@ -34,7 +34,7 @@
 
 void PauseMeter::update( std::span<const gateway::EngineRun> runs, Millis longestPause,
                          MonoTime now ) {
-    fade( now );
+    decay( now );
     std::map<std::string, Run> next;
     for( const auto& it : runs ) {
         auto& run = next[it.id];
@@ -42,8 +42,8 @@
         if( before != m_runs.end() ) {
             run = before->second;
         }
-        const bool pausing = before != m_runs.end() && run.events > 0;
-        if( pausing && !run.late && now - run.since > longestPause ) {
+        const bool hadEvents = before != m_runs.end() && run.events > 0;
+        if( hadEvents && !run.late && now - run.since > longestPause ) {
             run.late = true;
             count( true );
         }
@@ -61,8 +61,8 @@
 }
 
 double PauseMeter::lateShare( MonoTime now ) const {
-    const double factor = fadeFactor( m_counts.at, now );
-    return m_counts.late * factor / ( m_counts.all * factor + credit );
+    const double factor = decayFactor( m_counts.at, now );
+    return m_counts.late * factor / ( m_counts.all * factor + creditedStreams );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/pause_meter.hpp
+++ b/src/sidecar/pause_meter.hpp
@@ -34,7 +34,7 @@
         double late = 0;
         MonoTime at;
     };
-    void fade( MonoTime now );
+    void decay( MonoTime now );
     void count( bool late );
 
     std::map<std::string, Run> m_runs;
--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -9,9 +9,9 @@
 
 //! A prompt admitted within this time may not have reached the engine when it reports: the answer
 //! to the gateway, a new connection and the request take some milliseconds each.
-constexpr Millis onItsWay{ 30 };
+constexpr Millis maxSendTime{ 30 };
 //! Smooths the usual prompt size over about the last ten prompts.
-constexpr double usualSmoothing = 0.1;
+constexpr double typicalSmoothing = 0.1;
 
 gateway::Generation generationOf( const PromptRequest& ask ) {
     gateway::Generation out;
@@ -24,7 +24,7 @@
     return out;
 }
 
-std::vector<std::uint64_t> keysOf( const PromptRequest& ask ) {
+std::vector<std::uint64_t> partKeysOf( const PromptRequest& ask ) {
     std::vector<std::uint64_t> out;
     for( const auto& it : ask.prompt.parts ) {
         out.push_back( it.key );
@@ -42,15 +42,15 @@
     }
 }
 
-double PromptGate::workOf( const PromptRequest& ask ) const {
-    const auto cachedTokens = m_prefixes.cachedTokens( keysOf( ask ), generationOf( ask ) );
-    const auto fresh = std::max<std::int64_t>( ask.prompt.tokens - cachedTokens, 0 );
-    return static_cast<double>( fresh ) * ask.prompt.msPerToken;
+double PromptGate::uncachedWorkMs( const PromptRequest& ask ) const {
+    const auto cachedTokens = m_prefixes.cachedTokens( partKeysOf( ask ), generationOf( ask ) );
+    const auto uncachedTokens = std::max<std::int64_t>( ask.prompt.tokens - cachedTokens, 0 );
+    return static_cast<double>( uncachedTokens ) * ask.prompt.msPerToken;
 }
 
 decide::ReadingVerdict PromptGate::ask( const PromptRequest& ask, MonoTime now ) {
     const auto goal = ask.since + std::min( Millis( ask.prompt.goalMs ), ask.limit );
-    decide::ReadingRequest reading{ ask.key, workOf( ask ), goal };
+    decide::ReadingRequest reading{ ask.key, uncachedWorkMs( ask ), goal };
     auto verdict = m_queue.ask( reading, now );
     if( !verdict.accepted && ask.prompt.late ) {
         reading.startBy = ask.since + ask.limit;
@@ -62,14 +62,14 @@
     return verdict;
 }
 
-std::vector<PromptLeave> PromptGate::takeAdmitted( MonoTime now ) {
-    std::vector<PromptLeave> out;
+std::vector<AdmittedPrompt> PromptGate::takeAdmitted( MonoTime now ) {
+    std::vector<AdmittedPrompt> out;
     while( const auto next = m_queue.takeNext( now ) ) {
         const auto it = m_waiting.find( next->key );
-        m_usualWorkMs += usualSmoothing * ( next->workMs - m_usualWorkMs );
-        m_prefixes.insert( keysOf( it->second ), generationOf( it->second ) );
+        m_typicalWorkMs += typicalSmoothing * ( next->workMs - m_typicalWorkMs );
+        m_prefixes.insert( partKeysOf( it->second ), generationOf( it->second ) );
         m_waiting.erase( it );
-        m_leaves.push_back( now );
+        m_admissionTimes.push_back( now );
         out.push_back( { next->key, next->workMs } );
     }
     return out;
@@ -79,11 +79,11 @@
     std::vector<std::uint64_t> out;
     for( auto reading : m_queue.takeExpired( now ) ) {
         const auto it = m_waiting.find( reading.key );
-        const auto last = it->second.since + it->second.limit;
+        const auto latestStart = it->second.since + it->second.limit;
         // The goal is missed, but this prompt may start late: queue it again within its limit.
-        const bool again = it->second.prompt.late && reading.startBy < last;
-        reading.startBy = last;
-        if( again && m_queue.ask( reading, now ).accepted ) {
+        const bool mayStartLate = it->second.prompt.late && reading.startBy < latestStart;
+        reading.startBy = latestStart;
+        if( mayStartLate && m_queue.ask( reading, now ).accepted ) {
             continue;
         }
         m_waiting.erase( it );
@@ -98,10 +98,10 @@
 }
 
 void PromptGate::noteUnread( std::size_t prompts, MonoTime now ) {
-    while( !m_leaves.empty() && now - m_leaves.front() > onItsWay ) {
-        m_leaves.pop_front();
+    while( !m_admissionTimes.empty() && now - m_admissionTimes.front() > maxSendTime ) {
+        m_admissionTimes.pop_front();
     }
-    m_queue.noteUnread( std::max( prompts, m_leaves.size() ), now );
+    m_queue.noteUnread( std::max( prompts, m_admissionTimes.size() ), now );
 }
 
 void PromptGate::clear() {
--- a/src/sidecar/prompt_gate.hpp
+++ b/src/sidecar/prompt_gate.hpp
@@ -27,7 +27,7 @@
 };
 
 //! A prompt that may be sent now.
-struct PromptLeave {
+struct AdmittedPrompt {
     std::uint64_t key = 0;
     double workMs = 0; //!< reading time, without the parts that the engine has cached
 };
@@ -47,7 +47,7 @@
     //! Queues a prompt, or refuses it and returns when the engine could start to read it.
     decide::ReadingVerdict ask( const PromptRequest& ask, MonoTime now );
     //! Removes and returns the prompts that may be sent now.
-    std::vector<PromptLeave> takeAdmitted( MonoTime now );
+    std::vector<AdmittedPrompt> takeAdmitted( MonoTime now );
     //! Removes the prompts that can no longer start in time, and returns their keys.
     std::vector<std::uint64_t> takeExpired( MonoTime now );
     //! When takeAdmitted() will return the next prompt; nullopt while none waits.
@@ -62,21 +62,21 @@
     void clear();
 
     //! Time until the engine would start to read a prompt of the usual size.
-    Millis usualWait( MonoTime now ) const { return m_queue.waitFor( m_usualWorkMs, now ); }
+    Millis typicalWait( MonoTime now ) const { return m_queue.waitFor( m_typicalWorkMs, now ); }
     std::size_t waiting() const noexcept { return m_queue.waiting(); }
     //! True while prompts wait, or by estimate are being read.
     bool busy( MonoTime now ) const { return m_queue.busy( now ); }
 
 private:
-    double workOf( const PromptRequest& ask ) const;
+    double uncachedWorkMs( const PromptRequest& ask ) const;
 
     decide::ReadingQueue m_queue;
     gateway::PrefixCache m_prefixes;
     std::int64_t m_cacheTokens = 0;
     std::map<std::uint64_t, PromptRequest> m_waiting; //!< by key
-    double m_usualWorkMs = 0;                         //!< smoothed over the admitted prompts
+    double m_typicalWorkMs = 0;                       //!< smoothed over the admitted prompts
     //! Admission times of prompts that may not have reached the engine.
-    std::deque<MonoTime> m_leaves;
+    std::deque<MonoTime> m_admissionTimes;
 };
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/publisher.cpp
+++ b/src/sidecar/publisher.cpp
@@ -10,55 +10,55 @@
 namespace {
 
 //! Longest time between reports; they also show gateways that the sidecar is running.
-constexpr Millis reportEvery{ 450 };
+constexpr Millis maxReportInterval{ 450 };
 //! Shortest time between reports while few gateways are connected.
-constexpr Millis leastPause{ 150 };
-//! The time between reports grows by `leastPause` for every so many gateways.
-constexpr int gatewaysPerPause = 8;
+constexpr Millis minReportInterval{ 150 };
+//! The time between reports grows by `minReportInterval` for every so many gateways.
+constexpr int gatewaysPerInterval = 8;
 
 } // namespace
 
 void Publisher::setReachable( bool reachable ) {
     m_reachable = reachable;
-    m_changed = true;
+    m_fullReportNeeded = true;
 }
 
 //! Shortest time between reports. It grows with the number of gateways, so that the total rate of
 //! messages to them stays about the same.
-Millis Publisher::pause() const {
-    const auto rounds = 1 + static_cast<int>( m_parts.peers.size() ) / gatewaysPerPause;
-    return std::min( leastPause * rounds, reportEvery );
+Millis Publisher::reportInterval() const {
+    const auto intervals = 1 + static_cast<int>( m_sources.peers.size() ) / gatewaysPerInterval;
+    return std::min( minReportInterval * intervals, maxReportInterval );
 }
 
 gateway::EngineLoad Publisher::load() const {
     const auto now = MonoClock::now();
     gateway::EngineLoad out;
-    const auto& engine = m_parts.view.report();
+    const auto& engine = m_sources.view.report();
     out.orderInProgress = engine.orderInProgress;
     out.queued = engine.queued;
     out.running = engine.running;
     out.prefilling = engine.prefilling;
     out.hasAdapterCapacity =
-        !m_parts.view.spec() || hasAdapterCapacity( m_parts.view.holdings( now ), now );
-    out.gateways = static_cast<int>( m_parts.peers.size() );
+        !m_sources.view.spec() || hasAdapterCapacity( m_sources.view.residencyState( now ), now );
+    out.gateways = static_cast<int>( m_sources.peers.size() );
     constexpr double percent = 100;
     double reading = 0;
-    for( const auto& it : m_parts.peers ) {
+    for( const auto& it : m_sources.peers ) {
         reading += it->reading;
     }
     out.readingPercent = static_cast<int>( reading * percent );
-    out.readingWaitMs = m_parts.admission.usualWait( now ).count();
-    out.latePausesPercent = static_cast<int>( m_parts.pauses.lateShare( now ) * percent );
+    out.readingWaitMs = m_sources.admission.typicalWait( now ).count();
+    out.latePausesPercent = static_cast<int>( m_sources.pauses.lateShare( now ) * percent );
     return out;
 }
 
 gateway::SidecarReport Publisher::report() const {
-    const auto& engine = m_parts.view.report();
+    const auto& engine = m_sources.view.report();
     gateway::SidecarReport out;
     out.reachable = m_reachable;
     out.born = engine.born;
-    out.formerUpstreams = m_parts.orders.former();
-    out.residents = m_parts.view.availableResidents();
+    out.formerUpstreams = m_sources.orders.formerStarts();
+    out.residents = m_sources.view.availableResidents();
     out.loadingAdapters = engine.loadingAdapters;
     out.onDisk = engine.onDisk;
     out.inMemory = engine.inMemory;
@@ -74,32 +74,32 @@
 }
 
 void Publisher::publish( MonoTime now ) {
-    const auto& engine = m_parts.view.report();
-    const bool due = now - m_published >= reportEvery;
-    const bool soon = now - m_published >= pause();
-    const bool whole = m_changed || shapeDiffers( engine, m_lastPublished );
-    const bool news = whole || loadDiffers( engine, m_lastPublished );
-    if( !due && !( soon && news ) ) {
+    const auto& engine = m_sources.view.report();
+    const bool overdue = now - m_publishedAt >= maxReportInterval;
+    const bool intervalPassed = now - m_publishedAt >= reportInterval();
+    const bool fullReport = m_fullReportNeeded || contentsDiffer( engine, m_lastPublished );
+    const bool changed = fullReport || loadDiffers( engine, m_lastPublished );
+    if( !overdue && !( intervalPassed && changed ) ) {
         return;
     }
-    m_changed = false;
-    m_published = now;
+    m_fullReportNeeded = false;
+    m_publishedAt = now;
     m_lastPublished = engine;
-    const auto encoded = whole ? encodedReport() : encodedLoad();
-    for( const auto& it : m_parts.peers ) {
+    const auto encoded = fullReport ? encodedReport() : encodedLoad();
+    for( const auto& it : m_sources.peers ) {
         it->channel->send( encoded );
     }
 }
 
 std::string Publisher::encodedReport() {
     auto out = report();
-    out.load.sentParts = m_parts.sentParts.takeUnpublished();
+    out.load.sentParts = m_sources.sentParts.takeUnpublished();
     return gateway::encode( gateway::Message( std::move( out ) ) );
 }
 
 std::string Publisher::encodedLoad() {
     gateway::LoadReport out{ load() };
-    out.load.sentParts = m_parts.sentParts.takeUnpublished();
+    out.load.sentParts = m_sources.sentParts.takeUnpublished();
     return gateway::encode( gateway::Message( std::move( out ) ) );
 }
 
--- a/src/sidecar/publisher.hpp
+++ b/src/sidecar/publisher.hpp
@@ -16,7 +16,7 @@
 namespace coursehead::sidecar {
 
 //! The objects that a publisher reports on; all must outlive it.
-struct PublishedParts {
+struct PublisherSources {
     const std::set<PeerPtr>& peers; //!< the connected gateways
     const EngineView& view;
     const Orders& orders;
@@ -29,10 +29,10 @@
 //! only the load.
 class Publisher {
 public:
-    explicit Publisher( PublishedParts parts ) : m_parts( parts ) {}
+    explicit Publisher( PublisherSources sources ) : m_sources( sources ) {}
 
     //! Requests a full report: more than the load has changed.
-    void noteChange() { m_changed = true; }
+    void requestFullReport() { m_fullReportNeeded = true; }
     //! Sets whether the engine is reachable.
     void setReachable( bool reachable );
     //! Sends a report to all gateways if there are changes to report or the last one is old.
@@ -41,16 +41,16 @@
     void sendReport( Peer& peer, std::vector<gateway::SentPart> sentParts ) const;
 
 private:
-    Millis pause() const;
+    Millis reportInterval() const;
     gateway::EngineLoad load() const;
     gateway::SidecarReport report() const;
     std::string encodedReport();
     std::string encodedLoad();
 
-    PublishedParts m_parts;
+    PublisherSources m_sources;
     bool m_reachable = false;
-    bool m_changed = false;
-    MonoTime m_published;
+    bool m_fullReportNeeded = false;
+    MonoTime m_publishedAt;
     gateway::EngineReport m_lastPublished;
 };
 
--- a/src/sidecar/quarantine_keeper.hpp
+++ b/src/sidecar/quarantine_keeper.hpp
@@ -16,13 +16,13 @@
 //! quarantines to gateways, and writes them to the store for gateways that start later.
 class QuarantineKeeper {
 public:
-    using Tell = std::function<void( const decide::Quarantine& quarantine )>;
+    using Broadcast = std::function<void( const decide::Quarantine& quarantine )>;
 
     QuarantineKeeper( net::asio::io_context& context, const platform::Endpoint& store,
-                      metrics::Metrics& metrics, Tell tell );
+                      metrics::Metrics& metrics, Broadcast broadcast );
 
     //! Counts an end of an upstream that a gateway has reported.
-    void take( const decide::PoisonEvidence& evidence, MonoTime now );
+    void countUpstreamEnds( const decide::PoisonEvidence& evidence, MonoTime now );
     //! Drops evidence and quarantine of a content: a request with it has run to completion.
     void clear( decide::Fingerprint fingerprint );
     //! The quarantines in force that this process knows of.
@@ -31,15 +31,15 @@
 private:
     void quarantine( const decide::Quarantine& entry, MonoTime now );
     //! Writes the queued quarantines one after the other, and retries until the store accepts them.
-    net::Task<> write();
+    net::Task<> writeUnwritten();
     //! Removes objects of quarantines that ended long ago.
     net::Task<> removeOld();
 
     net::asio::io_context& m_context;
     platform::StoreClient m_store;
     metrics::Metrics& m_metrics;
-    Tell m_tell;
-    decide::PoisonCounter m_book;
+    Broadcast m_broadcast;
+    decide::PoisonCounter m_poisonCounter;
     decide::QuarantineList m_quarantines;
     std::deque<decide::Quarantine> m_unwritten;
     bool m_writing = false;
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/question.hpp
@@ -18,10 +18,10 @@
     std::shared_ptr<net::FrameChannel> channel;
     std::string gateway;
     std::map<std::string, gateway::ModelDemand> demand; //!< by model
-    double reading = 0;              //!< share of the engine's time that its prompts take
-    gateway::EngineSpecKey spec = 0; //!< key of the engine specification that it holds
-    int gateways = 1;                //!< number of running gateways that it knows of
-    std::uint64_t serial = 0;        //!< number of the connection, unique in this process
+    double reading = 0;                 //!< share of the engine's time that its prompts take
+    gateway::EngineSpecKey spec = 0;    //!< key of the engine specification that it holds
+    int gateways = 1;                   //!< number of running gateways that it knows of
+    std::uint64_t connectionNumber = 0; //!< number of the connection, unique in this process
 };
 using PeerPtr = std::shared_ptr<Peer>;
 
@@ -35,14 +35,14 @@
     std::uint64_t key = 0;    //!< unique over all connections
     gateway::PendingPrompt prompt;
     MonoTime since;
-    Millis limit{ 0 };   //!< longest wait, counted from `since`
-    bool loaded = false; //!< the model or adapter was not resident at first
+    Millis limit{ 0 };       //!< longest wait, counted from `since`
+    bool neededLoad = false; //!< the model or adapter was not resident at first
 };
 
 //! A key for an ensure request that is unique over all connections.
-inline std::uint64_t keyOf( const Peer& peer, std::uint64_t number ) {
-    constexpr unsigned serialShift = 40;
-    return ( peer.serial << serialShift ) | number;
+inline std::uint64_t ensureKey( const Peer& peer, std::uint64_t number ) {
+    constexpr unsigned connectionShift = 40;
+    return ( peer.connectionNumber << connectionShift ) | number;
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/relay.cpp
+++ b/src/sidecar/relay.cpp
@@ -20,13 +20,13 @@
 
 //! Failed writes after which a relay stops to write missing quarantines again. Every relay writes
 //! them, so each one tries for a few seconds only.
-constexpr int mostTries = 10;
-constexpr Millis writeRetry{ 500 };
-constexpr Millis writeLimit{ 1000 };
+constexpr int maxWriteTries = 10;
+constexpr Millis writeRetryDelay{ 500 };
+constexpr Millis writeCallLimit{ 1000 };
 
 //! True when the upstream stays cold for longer than before; a cold time that only runs down is not
 //! sent.
-bool turnsCold( const Upstream& before, const Upstream& now ) {
+bool coldTimeGrew( const Upstream& before, const Upstream& now ) {
     return now.cold > before.cold;
 }
 
@@ -39,10 +39,10 @@
 }
 
 //! True when a change has to be sent to gateways.
-bool differs( const Upstream& a, const Upstream& b ) {
+bool needsUpdate( const Upstream& a, const Upstream& b ) {
     return a.created != b.created || a.born != b.born || a.service != b.service || a.ip != b.ip ||
            a.port != b.port || a.hall != b.hall || a.slots != b.slots || a.state != b.state ||
-           a.remaining != b.remaining || !holdsSameModels( a, b ) || turnsCold( a, b );
+           a.remaining != b.remaining || !holdsSameModels( a, b ) || coldTimeGrew( a, b );
 }
 
 //! The store's kind of object for a part.
@@ -79,8 +79,8 @@
               RandomSource& random, metrics::Metrics& metrics )
     : m_context( context ), m_settings( settings ), m_random( random ), m_metrics( metrics ) {}
 
-void Relay::subscribe( const void* who, Send send ) {
-    auto& subscriber = m_subscribers[who];
+void Relay::subscribe( const void* connection, Send send ) {
+    auto& subscriber = m_subscribers[connection];
     subscriber = { std::move( send ), {} };
     if( m_parts.empty() ) {
         log::info( "relay_started", {} );
@@ -93,13 +93,13 @@
     for( const auto& it : m_parts ) {
         if( it->listed && it->reachable ) {
             subscriber.whole.insert( it->part );
-            subscriber.send( gateway::encode( gateway::Message( wholeNews( *it ) ) ) );
+            subscriber.send( gateway::encode( gateway::Message( snapshotOf( *it ) ) ) );
         }
     }
 }
 
-void Relay::unsubscribe( const void* who ) {
-    if( m_subscribers.erase( who ) == 0 || !m_subscribers.empty() ) {
+void Relay::unsubscribe( const void* connection ) {
+    if( m_subscribers.erase( connection ) == 0 || !m_subscribers.empty() ) {
         return;
     }
     log::info( "relay_ended", {} );
@@ -110,7 +110,7 @@
 }
 
 void Relay::startPart( StorePart kind ) {
-    const auto part = std::make_shared<Part>();
+    const auto part = std::make_shared<WatchedPart>();
     part->part = kind;
     gateway::FollowerSettings settings;
     settings.kind = std::string( kindOf( kind ) );
@@ -133,8 +133,8 @@
 gateway::FollowerHandlers Relay::handlersFor( const PartPtr& part ) {
     // The part owns its follower, and the follower these handlers: a strong pointer to the part
     // would be a reference cycle.
-    const std::weak_ptr<Part> weak = part;
-    const auto current = [this, weak]() -> Part* {
+    const std::weak_ptr<WatchedPart> weak = part;
+    const auto current = [this, weak]() -> WatchedPart* {
         const auto it = weak.lock();
         const bool followed =
             it && std::find( m_parts.begin(), m_parts.end(), it ) != m_parts.end();
@@ -143,7 +143,7 @@
     gateway::FollowerHandlers out;
     out.listing = [this, current]( const std::vector<platform::StoreObject>& objects ) {
         if( auto* it = current() ) {
-            takeListing( *it, objects );
+            applyListing( *it, objects );
         }
     };
     out.restored = [current] {
@@ -185,7 +185,7 @@
     return out;
 }
 
-void Relay::takeListing( Part& part, const std::vector<platform::StoreObject>& objects ) {
+void Relay::applyListing( WatchedPart& part, const std::vector<platform::StoreObject>& objects ) {
     std::set<std::string> missing;
     for( const auto& known : part.upstreams ) {
         missing.insert( known.first );
@@ -201,12 +201,12 @@
     if( lost && part.part == StorePart::quarantines ) {
         // Only sidecars write quarantines, so those that the restored copy lacks are still in
         // force.
-        std::vector<platform::StoreObject> again;
-        again.reserve( missing.size() );
+        std::vector<platform::StoreObject> toRewrite;
+        toRewrite.reserve( missing.size() );
         for( const auto& name : missing ) {
-            again.push_back( part.objects.at( name ) );
+            toRewrite.push_back( part.objects.at( name ) );
         }
-        net::start( m_context, writeAgain( std::move( again ) ), "quarantines" );
+        net::start( m_context, rewriteQuarantines( std::move( toRewrite ) ), "quarantines" );
         missing.clear();
     }
     for( const auto& name : missing ) {
@@ -215,19 +215,19 @@
     part.listed = true;
 }
 
-net::Task<> Relay::writeAgain( std::vector<platform::StoreObject> objects ) {
+net::Task<> Relay::rewriteQuarantines( std::vector<platform::StoreObject> objects ) {
     platform::StoreClient client( m_context, m_settings.store, &m_metrics );
     int tries = 0;
-    while( !objects.empty() && tries < mostTries ) {
+    while( !objects.empty() && tries < maxWriteTries ) {
         std::string body = platform::encodeObject( objects.back() );
         const auto status =
-            co_await client.create( platform::quarantineKind, std::move( body ), writeLimit );
+            co_await client.create( platform::quarantineKind, std::move( body ), writeCallLimit );
         if( status == platform::StoreStatus::ok ) {
             objects.pop_back();
             continue;
         }
         ++tries;
-        co_await net::pause( m_context, writeRetry );
+        co_await net::pause( m_context, writeRetryDelay );
     }
     if( !objects.empty() ) {
         log::warn( "quarantines_unwritten",
@@ -235,7 +235,7 @@
     }
 }
 
-void Relay::put( Part& part, const platform::StoreObject& object ) {
+void Relay::put( WatchedPart& part, const platform::StoreObject& object ) {
     if( part.part == StorePart::configuration ) {
         if( object.name == platform::configurationName ) {
             part.configuration = object.spec;
@@ -259,21 +259,21 @@
         return;
     }
     const auto it = part.upstreams.find( object.name );
-    if( it == part.upstreams.end() || differs( it->second, *upstream ) ) {
+    if( it == part.upstreams.end() || needsUpdate( it->second, *upstream ) ) {
         part.changed.insert( object.name );
     }
     part.gone.erase( object.name );
     part.upstreams[object.name] = std::move( *upstream );
 }
 
-void Relay::remove( Part& part, const std::string& name ) {
+void Relay::remove( WatchedPart& part, const std::string& name ) {
     if( part.upstreams.erase( name ) + part.objects.erase( name ) > 0 ) {
         part.changed.erase( name );
         part.gone.insert( name );
     }
 }
 
-StoreUpdate Relay::wholeNews( const Part& part ) {
+StoreUpdate Relay::snapshotOf( const WatchedPart& part ) {
     StoreUpdate out;
     out.part = part.part;
     out.position = part.position;
@@ -288,7 +288,7 @@
     return out;
 }
 
-StoreUpdate Relay::changes( const Part& part ) {
+StoreUpdate Relay::changesOf( const WatchedPart& part ) {
     StoreUpdate out;
     out.part = part.part;
     out.position = part.position;
@@ -306,16 +306,16 @@
     return out;
 }
 
-void Relay::publish( Part& part ) {
-    const auto news = gateway::encode( gateway::Message( changes( part ) ) );
+void Relay::publish( WatchedPart& part ) {
+    const auto news = gateway::encode( gateway::Message( changesOf( part ) ) );
     std::string whole;
-    for( auto& [who, subscriber] : m_subscribers ) {
+    for( auto& [connection, subscriber] : m_subscribers ) {
         if( !subscriber.whole.insert( part.part ).second ) {
             subscriber.send( news );
             continue;
         }
         if( whole.empty() ) {
-            whole = gateway::encode( gateway::Message( wholeNews( part ) ) );
+            whole = gateway::encode( gateway::Message( snapshotOf( part ) ) );
         }
         subscriber.send( whole );
     }
@@ -324,7 +324,7 @@
     part.configurationChanged = false;
 }
 
-void Relay::publishUnreachable( Part& part ) {
+void Relay::publishUnreachable( WatchedPart& part ) {
     StoreUpdate news;
     news.part = part.part;
     news.position = part.position;
--- a/src/sidecar/relay.hpp
+++ b/src/sidecar/relay.hpp
@@ -26,14 +26,14 @@
     Relay( net::asio::io_context& context, const platform::NodeSettings& settings,
            RandomSource& random, metrics::Metrics& metrics );
 
-    //! `who` identifies the gateway's connection. Sends the snapshots of all parts that are up to
-    //! date.
-    void subscribe( const void* who, Send send );
-    void unsubscribe( const void* who );
+    //! `connection` identifies the gateway's connection. Sends the snapshots of all parts that are
+    //! up to date.
+    void subscribe( const void* connection, Send send );
+    void unsubscribe( const void* connection );
 
 private:
     //! A part of the store, followed from the first subscription until the last one has ended.
-    struct Part {
+    struct WatchedPart {
         std::unique_ptr<gateway::Follower> follower;
         gateway::StorePart part = gateway::StorePart::upstreams;
         bool listed = false;
@@ -48,7 +48,7 @@
         std::set<std::string> gone;    //!< objects removed since the last message, by name
         bool configurationChanged = false;
     };
-    using PartPtr = std::shared_ptr<Part>;
+    using PartPtr = std::shared_ptr<WatchedPart>;
 
     struct Subscriber {
         Send send;
@@ -57,15 +57,15 @@
 
     void startPart( gateway::StorePart kind );
     gateway::FollowerHandlers handlersFor( const PartPtr& part );
-    static void put( Part& part, const platform::StoreObject& object );
-    static void remove( Part& part, const std::string& name );
-    void takeListing( Part& part, const std::vector<platform::StoreObject>& objects );
+    static void put( WatchedPart& part, const platform::StoreObject& object );
+    static void remove( WatchedPart& part, const std::string& name );
+    void applyListing( WatchedPart& part, const std::vector<platform::StoreObject>& objects );
     //! Writes quarantines again that a store restored from a copy lacks.
-    net::Task<> writeAgain( std::vector<platform::StoreObject> objects );
-    void publish( Part& part );
-    void publishUnreachable( Part& part );
-    static gateway::StoreUpdate wholeNews( const Part& part );
-    static gateway::StoreUpdate changes( const Part& part );
+    net::Task<> rewriteQuarantines( std::vector<platform::StoreObject> objects );
+    void publish( WatchedPart& part );
+    void publishUnreachable( WatchedPart& part );
+    static gateway::StoreUpdate snapshotOf( const WatchedPart& part );
+    static gateway::StoreUpdate changesOf( const WatchedPart& part );
 
     net::asio::io_context& m_context;
     const platform::NodeSettings& m_settings;
--- a/src/sidecar/report_news.hpp
+++ b/src/sidecar/report_news.hpp
@@ -8,7 +8,7 @@
 namespace coursehead::sidecar {
 
 //! True when the reports differ in more than the load.
-bool shapeDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b );
+bool contentsDiffer( const gateway::EngineReport& a, const gateway::EngineReport& b );
 
 //! True when the loads differ enough to change a gateway's decisions.
 bool loadDiffers( const gateway::EngineReport& a, const gateway::EngineReport& b );
--- a/src/sidecar/residency.cpp
+++ b/src/sidecar/residency.cpp
@@ -14,26 +14,26 @@
 
 //! A model is not unloaded within this time after its load. Without it two models in demand would
 //! evict each other in turn.
-constexpr Millis modelStay{ 1500 };
+constexpr Millis minModelResidency{ 1500 };
 //! An adapter that was used within this time counts as in use.
-constexpr Millis adapterStay{ 300 };
+constexpr Millis adapterIdleTime{ 300 };
 //! An unused adapter is unloaded at once. If a report still lists it after this time, it is in use
 //! or the order was lost.
-constexpr Millis adapterUnload{ 1000 };
+constexpr Millis adapterUnloadLimit{ 1000 };
 //! Adapters that may be loading into an engine at the same time.
-constexpr std::size_t maxComing = 4;
+constexpr std::size_t maxLoadingAdapters = 4;
 
 //! Value of the last copy of a model that has no demand now, in requests a second.
-constexpr double lastCopyPerS = 0.05;
+constexpr double lastCopyValuePerS = 0.05;
 
 //! Value that each running request adds to a model in the choice of one to unload, because the
 //! unload has to wait for that request. Small beside the value of a last copy, so that it only
 //! decides between copies of about the same value.
-constexpr double runPerS = 0.01;
-constexpr int mostRuns = 10;
+constexpr double runValuePerS = 0.01;
+constexpr int maxCountedRuns = 10;
 //! A retiring model is unloaded after this time even if requests still run; most streams end
 //! sooner.
-constexpr Millis retireLimit{ 3000 };
+constexpr Millis maxRetireTime{ 3000 };
 
 const Resident* findModel( const EngineReport& report, std::string_view model ) {
     const auto it = std::find_if( report.residents.begin(), report.residents.end(),
@@ -45,7 +45,7 @@
     return std::find( names.begin(), names.end(), name ) != names.end();
 }
 
-double weightOf( const EngineSpec& engine, std::string_view model ) {
+double modelWeightMb( const EngineSpec& engine, std::string_view model ) {
     const auto* spec = engine.find( model );
     if( spec != nullptr ) {
         return spec->weightsMb;
@@ -58,7 +58,7 @@
     return out;
 }
 
-double adapterWeight( const EngineSpec& engine, std::string_view model ) {
+double adapterWeightMb( const EngineSpec& engine, std::string_view model ) {
     const auto* spec = engine.find( model );
     return spec != nullptr ? spec->adapterMb : 0;
 }
@@ -71,59 +71,61 @@
     return out;
 }
 
-Usage useOf( const std::map<std::string, Usage, std::less<>>& uses, std::string_view key ) {
-    const auto it = uses.find( key );
-    return it == uses.end() ? Usage{} : it->second;
+Usage usageOf( const std::map<std::string, Usage, std::less<>>& usages, std::string_view key ) {
+    const auto it = usages.find( key );
+    return it == usages.end() ? Usage{} : it->second;
 }
 
 //! Cost of unloading a copy of a model, in affected requests a second. Without one of several
 //! copies the others take over its requests; without the last copy every request waits for a load.
-double valueOf( const Usage& use ) {
-    const double runs = runPerS * std::min( use.running, mostRuns );
-    if( use.copies > 1 ) {
-        return runs + use.perS / ( static_cast<double>( use.copies ) * ( use.copies - 1 ) );
+double copyValuePerS( const Usage& usage ) {
+    const double runs = runValuePerS * std::min( usage.running, maxCountedRuns );
+    if( usage.copies > 1 ) {
+        return runs + usage.perS / ( static_cast<double>( usage.copies ) * ( usage.copies - 1 ) );
     }
-    return runs + use.perS + lastCopyPerS;
+    return runs + usage.perS + lastCopyValuePerS;
 }
 
-std::optional<std::string> modelToUnload( const ResidencyState& holdings, std::string_view wanted,
+std::optional<std::string> modelToUnload( const ResidencyState& state, std::string_view wanted,
                                           MonoTime now ) {
-    if( !holdings.retiring.empty() && holdings.retiring != wanted &&
-        findModel( *holdings.report, holdings.retiring ) != nullptr ) {
-        return holdings.retiring;
+    if( !state.retiring.empty() && state.retiring != wanted &&
+        findModel( *state.report, state.retiring ) != nullptr ) {
+        return state.retiring;
     }
-    const Resident* best = nullptr;
-    Usage bestUse;
-    for( const auto& it : holdings.report->residents ) {
-        const auto use = useOf( holdings.models, it.model );
-        const bool settled = now - use.loadedAt >= modelStay;
-        if( it.model == wanted || !settled ) {
+    const Resident* cheapest = nullptr;
+    Usage cheapestUsage;
+    for( const auto& it : state.report->residents ) {
+        const auto usage = usageOf( state.models, it.model );
+        const bool pastMinResidency = now - usage.loadedAt >= minModelResidency;
+        if( it.model == wanted || !pastMinResidency ) {
             continue;
         }
-        const bool better = best == nullptr || valueOf( use ) < valueOf( bestUse ) ||
-                            ( valueOf( use ) == valueOf( bestUse ) && use.copies > bestUse.copies );
-        if( better ) {
-            best = &it;
-            bestUse = use;
+        const bool cheaper = cheapest == nullptr ||
+                             copyValuePerS( usage ) < copyValuePerS( cheapestUsage ) ||
+                             ( copyValuePerS( usage ) == copyValuePerS( cheapestUsage ) &&
+                               usage.copies > cheapestUsage.copies );
+        if( cheaper ) {
+            cheapest = &it;
+            cheapestUsage = usage;
         }
     }
-    return best == nullptr ? std::nullopt : std::optional( best->model );
+    return cheapest == nullptr ? std::nullopt : std::optional( cheapest->model );
 }
 
-std::optional<Step> adapterToUnload( const ResidencyState& holdings, MonoTime now ) {
+std::optional<Step> adapterToUnload( const ResidencyState& state, MonoTime now ) {
     std::optional<Step> out;
     MonoTime oldest;
-    for( const auto& it : holdings.report->residents ) {
+    for( const auto& it : state.report->residents ) {
         for( const auto& adapter : it.adapters ) {
-            const auto use = useOf( holdings.adapters, adapterKey( it.model, adapter ) );
+            const auto usage = usageOf( state.adapters, adapterKey( it.model, adapter ) );
             // The engine delays an unload until the adapter's last run has ended, and accepts no
             // other order until then.
-            if( use.running > 0 || now - use.lastUsed < adapterStay ) {
+            if( usage.running > 0 || now - usage.lastUsed < adapterIdleTime ) {
                 continue;
             }
-            if( !out || use.lastUsed < oldest ) {
+            if( !out || usage.lastUsed < oldest ) {
                 out = Step{ StepKind::unload, it.model, adapter };
-                oldest = use.lastUsed;
+                oldest = usage.lastUsed;
             }
         }
     }
@@ -132,54 +134,54 @@
 
 //! Retires a busy model before it is unloaded: the engine delays an unload until the model's runs
 //! have ended, and accepts no other order meanwhile.
-Step stepToDrop( const ResidencyState& holdings, const std::string& model, MonoTime now ) {
-    const bool busy = useOf( holdings.models, model ).running > 0;
-    const bool waited = holdings.retiring == model && now - holdings.retiringSince >= retireLimit;
+Step stepToUnloadModel( const ResidencyState& state, const std::string& model, MonoTime now ) {
+    const bool busy = usageOf( state.models, model ).running > 0;
+    const bool waited = state.retiring == model && now - state.retiringSince >= maxRetireTime;
     return { busy && !waited ? StepKind::retire : StepKind::unload, model, "" };
 }
 
-Step stepToModel( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
-    const auto& report = *holdings.report;
-    const auto* spec = holdings.engine->find( required.model );
+Step stepToLoadModel( const ResidencyState& state, const RequiredModel& required, MonoTime now ) {
+    const auto& report = *state.report;
+    const auto* spec = state.engine->find( required.model );
     if( spec == nullptr ) {
         return { StepKind::unknown, required.model, "" };
     }
     if( report.orderInProgress ) {
         return { StepKind::wait, required.model, "" };
     }
-    const bool near =
+    const bool local =
         contains( report.inMemory, required.model ) || contains( report.onDisk, required.model );
-    if( !near && !required.fromStore ) {
+    if( !local && !required.fromStore ) {
         return { StepKind::needsWeightStore, required.model, "" };
     }
-    if( usedMb( *holdings.engine, report ) + spec->weightsMb <= holdings.engine->weightsMb ) {
+    if( usedMb( *state.engine, report ) + spec->weightsMb <= state.engine->weightsMb ) {
         return { StepKind::load, required.model, "" };
     }
-    const auto victim = modelToUnload( holdings, required.model, now );
+    const auto victim = modelToUnload( state, required.model, now );
     if( !victim ) {
         return { StepKind::noCapacity, required.model, "" };
     }
-    return stepToDrop( holdings, *victim, now );
+    return stepToUnloadModel( state, *victim, now );
 }
 
-Step stepToAdapter( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
+Step stepToLoadAdapter( const ResidencyState& state, const RequiredModel& required, MonoTime now ) {
     // While an order for a model is under way the engine accepts none for adapters either.
-    const auto& report = *holdings.report;
+    const auto& report = *state.report;
     const auto key = adapterKey( required.model, required.adapter );
     if( report.orderInProgress || contains( report.loadingAdapters, key ) ) {
         return { StepKind::wait, required.model, required.adapter };
     }
-    const bool slot =
-        adapterCount( report ) < static_cast<std::size_t>( holdings.engine->adapterSlots );
-    const bool room =
-        usedMb( *holdings.engine, report ) + adapterWeight( *holdings.engine, required.model ) <=
-        holdings.engine->weightsMb;
-    if( slot && room ) {
-        return report.loadingAdapters.size() < maxComing
+    const bool hasFreeSlot =
+        adapterCount( report ) < static_cast<std::size_t>( state.engine->adapterSlots );
+    const bool hasFreeMemory =
+        usedMb( *state.engine, report ) + adapterWeightMb( *state.engine, required.model ) <=
+        state.engine->weightsMb;
+    if( hasFreeSlot && hasFreeMemory ) {
+        return report.loadingAdapters.size() < maxLoadingAdapters
                    ? Step{ StepKind::load, required.model, required.adapter }
                    : Step{ StepKind::wait, required.model, required.adapter };
     }
-    if( const auto victim = adapterToUnload( holdings, now ) ) {
+    if( const auto victim = adapterToUnload( state, now ) ) {
         return *victim;
     }
     return { StepKind::noCapacity, required.model, required.adapter };
@@ -187,9 +189,9 @@
 
 } // namespace
 
-bool hasAdapterCapacity( const ResidencyState& holdings, MonoTime now ) {
-    const auto slots = static_cast<std::size_t>( holdings.engine->adapterSlots );
-    return adapterCount( *holdings.report ) < slots || adapterToUnload( holdings, now ).has_value();
+bool hasAdapterCapacity( const ResidencyState& state, MonoTime now ) {
+    const auto slots = static_cast<std::size_t>( state.engine->adapterSlots );
+    return adapterCount( *state.report ) < slots || adapterToUnload( state, now ).has_value();
 }
 
 std::string adapterKey( std::string_view model, std::string_view adapter ) {
@@ -202,11 +204,11 @@
 double usedMb( const EngineSpec& engine, const EngineReport& report ) {
     double out = 0;
     for( const auto& it : report.residents ) {
-        out += weightOf( engine, it.model );
-        out += adapterWeight( engine, it.model ) * static_cast<double>( it.adapters.size() );
+        out += modelWeightMb( engine, it.model );
+        out += adapterWeightMb( engine, it.model ) * static_cast<double>( it.adapters.size() );
     }
     for( const auto& it : report.loadingAdapters ) {
-        out += adapterWeight( engine, std::string_view( it ).substr( 0, it.find( '/' ) ) );
+        out += adapterWeightMb( engine, std::string_view( it ).substr( 0, it.find( '/' ) ) );
     }
     return out;
 }
@@ -221,7 +223,7 @@
         if( it.adapter.empty() ) {
             return !report.orderInProgress;
         }
-        return !contains( resident->adapters, it.adapter ) || now - it.since > adapterUnload;
+        return !contains( resident->adapters, it.adapter ) || now - it.since > adapterUnloadLimit;
     } );
 }
 
@@ -248,18 +250,18 @@
     return out;
 }
 
-Step nextStep( const ResidencyState& holdings, const RequiredModel& required, MonoTime now ) {
-    const auto* resident = findModel( *holdings.report, required.model );
-    if( resident != nullptr && isUnloading( holdings.unloads, required.model, required.adapter ) ) {
+Step nextStep( const ResidencyState& state, const RequiredModel& required, MonoTime now ) {
+    const auto* resident = findModel( *state.report, required.model );
+    if( resident != nullptr && isUnloading( state.unloads, required.model, required.adapter ) ) {
         return { StepKind::unloading, required.model, required.adapter };
     }
     if( resident == nullptr ) {
-        return stepToModel( holdings, required, now );
+        return stepToLoadModel( state, required, now );
     }
     if( required.adapter.empty() || contains( resident->adapters, required.adapter ) ) {
         return { StepKind::ready, required.model, required.adapter };
     }
-    return stepToAdapter( holdings, required, now );
+    return stepToLoadAdapter( state, required, now );
 }
 
 } // namespace coursehead::sidecar
--- a/src/sidecar/residency.hpp
+++ b/src/sidecar/residency.hpp
@@ -82,13 +82,13 @@
 };
 
 //! The next step towards making the required model or adapter resident.
-Step nextStep( const ResidencyState& holdings, const RequiredModel& required, MonoTime now );
+Step nextStep( const ResidencyState& state, const RequiredModel& required, MonoTime now );
 
 //! Memory taken by weights and adapters that are resident or loading, in megabytes.
 double usedMb( const gateway::EngineSpec& engine, const gateway::EngineReport& report );
 
 //! True when another adapter can be loaded without waiting for running requests to end.
-bool hasAdapterCapacity( const ResidencyState& holdings, MonoTime now );
+bool hasAdapterCapacity( const ResidencyState& state, MonoTime now );
 
 //! MODEL/ADAPTER, as engines report adapters that are loading.
 std::string adapterKey( std::string_view model, std::string_view adapter );
--- a/src/sidecar/sent_parts.cpp
+++ b/src/sidecar/sent_parts.cpp
@@ -7,7 +7,7 @@
 
 //! Number of parts that are kept. An engine caches some 250,000 tokens, and a shared part has some
 //! hundred to some thousand.
-constexpr std::size_t mostParts = 400;
+constexpr std::size_t maxParts = 400;
 
 } // namespace
 
@@ -15,14 +15,14 @@
     for( const auto& it : parts ) {
         const auto found = m_index.find( it.key );
         if( found != m_index.end() ) {
-            found->second->told = false;
+            found->second->published = false;
             m_entries.splice( m_entries.end(), m_entries, found->second );
             continue;
         }
         m_entries.push_back( { it, false } );
         m_index.emplace( it.key, std::prev( m_entries.end() ) );
     }
-    while( m_entries.size() > mostParts ) {
+    while( m_entries.size() > maxParts ) {
         m_index.erase( m_entries.front().part.key );
         m_entries.pop_front();
     }
@@ -31,8 +31,8 @@
 std::vector<gateway::SentPart> SentParts::takeUnpublished() {
     std::vector<gateway::SentPart> out;
     for( auto& it : m_entries ) {
-        if( !it.told ) {
-            it.told = true;
+        if( !it.published ) {
+            it.published = true;
             out.push_back( it.part );
         }
     }
--- a/src/sidecar/sent_parts.hpp
+++ b/src/sidecar/sent_parts.hpp
@@ -28,7 +28,7 @@
 private:
     struct Entry {
         gateway::SentPart part;
-        bool told = false;
+        bool published = false;
     };
 
     std::list<Entry> m_entries; //!< most recently used last
--- a/src/sidecar/shared_counts.cpp
+++ b/src/sidecar/shared_counts.cpp
@@ -27,18 +27,18 @@
 
 } // namespace
 
-bool SharedCounts::take( const Peer& peer, const gateway::Message& message ) {
-    return takeQuota( peer, message ) || takeLimit( peer, message );
+bool SharedCounts::handle( const Peer& peer, const gateway::Message& message ) {
+    return handleQuota( peer, message ) || handleLimit( peer, message );
 }
 
-bool SharedCounts::takeQuota( const Peer& peer, const gateway::Message& message ) {
+bool SharedCounts::handleQuota( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
     if( const auto* news = std::get_if<decide::QuotaUpdate>( &message ) ) {
         m_quotas.takeUpdate( *news, now );
         return true;
     }
-    if( const auto* back = std::get_if<decide::QuotaReturn>( &message ) ) {
-        m_quotas.acceptReturn( *back, now );
+    if( const auto* returned = std::get_if<decide::QuotaReturn>( &message ) ) {
+        m_quotas.acceptReturn( *returned, now );
         return true;
     }
     if( const auto* ask = std::get_if<decide::QuotaRequest>( &message ) ) {
@@ -50,28 +50,28 @@
     return false;
 }
 
-bool SharedCounts::takeLimit( const Peer& peer, const gateway::Message& message ) {
+bool SharedCounts::handleLimit( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
     if( const auto* news = std::get_if<decide::LimitUpdate>( &message ) ) {
         m_limits.takeUpdate( *news, now );
-        spreadLimits( now );
+        broadcastLimits( now );
         return true;
     }
-    if( const auto* back = std::get_if<decide::LimitReturn>( &message ) ) {
-        m_limits.acceptReturn( *back, now );
+    if( const auto* returned = std::get_if<decide::LimitReturn>( &message ) ) {
+        m_limits.acceptReturn( *returned, now );
         return true;
     }
     if( const auto* ask = std::get_if<decide::LimitRequest>( &message ) ) {
         const auto answer = m_limits.ask( peer.gateway, *ask, now );
         m_metrics.count( "limit_asks", nameOf( answer.verdict ) );
         send( peer, gateway::Message( answer ) );
-        spreadLimits( now );
+        broadcastLimits( now );
         return true;
     }
     return false;
 }
 
-void SharedCounts::spreadLimits( MonoTime now ) {
+void SharedCounts::broadcastLimits( MonoTime now ) {
     auto statements = m_limits.takeChanges( now );
     if( statements.empty() ) {
         return;
--- a/src/sidecar/shared_counts.hpp
+++ b/src/sidecar/shared_counts.hpp
@@ -20,12 +20,12 @@
 
     void setQuotaRule( const decide::QuotaRule& rule ) { m_quotas.setRule( rule ); }
     //! Handles a message about quotas or limits; returns false for any other message.
-    bool take( const Peer& peer, const gateway::Message& message );
+    bool handle( const Peer& peer, const gateway::Message& message );
 
 private:
-    bool takeQuota( const Peer& peer, const gateway::Message& message );
-    bool takeLimit( const Peer& peer, const gateway::Message& message );
-    void spreadLimits( MonoTime now );
+    bool handleQuota( const Peer& peer, const gateway::Message& message );
+    bool handleLimit( const Peer& peer, const gateway::Message& message );
+    void broadcastLimits( MonoTime now );
 
     const std::set<PeerPtr>& m_peers;
     metrics::Metrics& m_metrics;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -33,27 +33,27 @@
 using gateway::EnsureOutcome;
 
 //! Time between two polls of the engine's report while no request waits for the engine.
-constexpr Millis idlePoll{ 150 };
+constexpr Millis idlePollInterval{ 150 };
 //! Likewise while prompts are read: the prompt gate follows the engine's progress in reading them.
-constexpr Millis readingPoll{ 40 };
+constexpr Millis readingPollInterval{ 40 };
 //! Likewise while an ensure request waits for a load: adapters load within some ten milliseconds,
 //! models within seconds.
-constexpr Millis wantPoll{ 12 };
+constexpr Millis loadPollInterval{ 12 };
 //! An ensure request that is not met within this time is answered as failed, and the gateway tries
 //! another engine.
-constexpr Millis wantLimit{ 9000 };
+constexpr Millis maxEnsureWait{ 9000 };
 //! Time after which another gateway is asked for the engine's specification; the first one may have
 //! disconnected.
-constexpr Millis specAskAgain{ 200 };
+constexpr Millis specRetryDelay{ 200 };
 //! Consecutive failed polls after which the engine counts as unreachable.
-constexpr int failuresToLost = 2;
+constexpr int failedPollsToUnreachable = 2;
 //! Running requests that a log line lists: as many as an engine has slots.
-constexpr std::size_t mostRunsLogged = 64;
+constexpr std::size_t maxRunsLogged = 64;
 
 //! ID:EVENTS of each run, separated by commas.
 std::string runsText( std::span<const gateway::EngineRun> runs ) {
     std::string out;
-    for( const auto& it : runs.first( std::min( runs.size(), mostRunsLogged ) ) ) {
+    for( const auto& it : runs.first( std::min( runs.size(), maxRunsLogged ) ) ) {
         out += ( out.empty() ? "" : "," ) + it.id + ":" + std::to_string( it.events );
     }
     return out;
@@ -64,26 +64,28 @@
     explicit Sidecar( platform::NodeSettings settings )
         : m_settings( std::move( settings ) ), m_engine( m_context, m_settings.engine ),
           m_random( systemSeed() ), m_relay( m_context, m_settings, m_random, m_metrics ),
-          m_wake( m_context ), m_view( m_peers ),
-          m_orders( m_context, m_settings, m_engine, m_view, m_random, m_metrics, ordersHost() ),
-          m_admission( m_context, admissionHost() ),
+          m_pollTimer( m_context ), m_view( m_peers ),
+          m_orders( m_context, m_settings, m_engine, m_view, m_random, m_metrics,
+                    ordersCallbacks() ),
+          m_admission( m_context, admissionCallbacks() ),
           m_publisher( { m_peers, m_view, m_orders, m_admission, m_sentParts, m_pauses } ),
           m_quarantines( m_context, m_settings.store, m_metrics,
-                         [this]( const decide::Quarantine& it ) { tellQuarantine( it ); } ),
+                         [this]( const decide::Quarantine& it ) { broadcastQuarantine( it ); } ),
           m_signals( m_context, SIGTERM, SIGINT, SIGHUP ) {}
 
     int run() {
-        m_counts.setQuotaRule( platform::quotaRule( m_settings.bounds ) );
+        m_sharedCounts.setQuotaRule( platform::quotaRule( m_settings.bounds ) );
         auto acceptor = net::listen( m_context, m_settings.ip, m_settings.firstPort );
         net::start( m_context, acceptPeers( std::move( acceptor ) ), "accept" );
         auto metrics = net::listen( m_context, m_settings.ip, m_settings.metricsPort );
-        gateway::ProbeHandler scraped = [this]( std::string_view path ) {
+        gateway::ProbeHandler metricsHandler = [this]( std::string_view path ) {
             return gateway::metricsAnswer( m_metrics, path );
         };
-        net::start( m_context, gateway::serveProbes( std::move( metrics ), std::move( scraped ) ),
+        net::start( m_context,
+                    gateway::serveProbes( std::move( metrics ), std::move( metricsHandler ) ),
                     "metrics" );
         m_orders.start();
-        net::start( m_context, converge(), "converge" );
+        net::start( m_context, pollEngine(), "converge" );
         net::start( m_context, handleSignals(), "signals" );
         log::info( "started",
                    { { "engine", m_settings.engine.text() }, { "hall", m_settings.hall } } );
@@ -100,7 +102,7 @@
                 log::warn( "accept_failed", { { "detail", ec.message() } } );
                 continue;
             }
-            net::configureSocket( socket, peerSilence );
+            net::configureSocket( socket, peerAckLimit );
             auto task = servePeer( net::Socket( std::move( socket ) ) );
             net::start( m_context, std::move( task ), "peer" );
         }
@@ -108,7 +110,7 @@
 
     net::Task<> servePeer( net::Socket socket ) {
         const auto peer = std::make_shared<Peer>();
-        peer->serial = ++m_lastSerial;
+        peer->connectionNumber = ++m_lastConnectionNumber;
         peer->channel =
             std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::server );
         m_peers.insert( peer );
@@ -118,7 +120,7 @@
         co_await peer->channel->run( std::move( handler ) );
         m_peers.erase( peer );
         m_relay.unsubscribe( peer.get() );
-        forgetQuestions( *peer );
+        forgetEnsures( *peer );
         log::info( "gateway_lost", { { "gateway", peer->gateway } } );
     }
 
@@ -129,24 +131,24 @@
             return;
         }
         if( const auto* news = std::get_if<gateway::EngineUpdate>( &*message ) ) {
-            takeNews( *peer, *news );
+            handleEngineUpdate( *peer, *news );
         } else if( auto* spec = std::get_if<gateway::SpecAnswer>( &*message ) ) {
-            takeSpec( std::move( *spec ) );
+            handleSpecAnswer( std::move( *spec ) );
         } else if( const auto* ensure = std::get_if<gateway::EnsureRequest>( &*message ) ) {
-            takeEnsure( peer, *ensure );
+            handleEnsureRequest( peer, *ensure );
         } else if( const auto* demand = std::get_if<gateway::DemandUpdate>( &*message ) ) {
-            takeDemand( *peer, *demand );
+            handleDemandUpdate( *peer, *demand );
         } else if( const auto* ask = std::get_if<gateway::RelayRequest>( &*message ) ) {
-            takeRelayAsk( peer, *ask );
+            handleRelayRequest( peer, *ask );
         } else if( const auto* cancel = std::get_if<gateway::EnsureCancel>( &*message ) ) {
-            forgetQuestion( keyOf( *peer, cancel->number ) );
-        } else if( !takePoison( *message ) ) {
-            m_counts.take( *peer, *message );
+            forgetEnsure( ensureKey( *peer, cancel->number ) );
+        } else if( !handlePoisonMessage( *message ) ) {
+            m_sharedCounts.take( *peer, *message );
         }
     }
 
     //! Handles a gateway's report about poison requests; returns false for any other message.
-    bool takePoison( const gateway::Message& message ) {
+    bool handlePoisonMessage( const gateway::Message& message ) {
         const auto now = MonoClock::now();
         if( const auto* evidence = std::get_if<decide::PoisonEvidence>( &message ) ) {
             m_quarantines.take( *evidence, now );
@@ -159,7 +161,7 @@
         return false;
     }
 
-    void tellQuarantine( const decide::Quarantine& quarantine ) {
+    void broadcastQuarantine( const decide::Quarantine& quarantine ) {
         const auto encoded =
             gateway::encode( gateway::Message( decide::QuarantineUpdate{ { quarantine } } ) );
         for( const auto& it : m_peers ) {
@@ -176,7 +178,7 @@
         }
     }
 
-    void takeNews( Peer& peer, const gateway::EngineUpdate& news ) {
+    void handleEngineUpdate( Peer& peer, const gateway::EngineUpdate& news ) {
         const bool first = peer.gateway.empty();
         if( first ) {
             log::info( "gateway_connected", { { "gateway", news.gateway } } );
@@ -187,7 +189,7 @@
         if( news.upstreamId != m_upstreamId && !former ) {
             m_upstreamId = news.upstreamId;
             m_orders.setEngine( news.upstreamId );
-            startAnew();
+            handleEngineRestart();
         }
         if( news.configVersion >= m_configVersion ) {
             m_configVersion = news.configVersion;
@@ -198,45 +200,45 @@
             }
         }
         peer.spec = news.spec;
-        askSpec( peer );
+        requestSpec( peer );
         m_publisher.sendReport( peer,
                                 first ? m_sentParts.all() : std::vector<gateway::SentPart>{} );
     }
 
     //! Requests the engine's specification. One gateway is asked at a time, since all have the same
     //! one.
-    void askSpec( Peer& peer ) {
+    void requestSpec( Peer& peer ) {
         const auto now = MonoClock::now();
-        const bool asked = now - m_specAsked < specAskAgain;
-        if( peer.spec != m_wantedSpec || m_spec == m_wantedSpec || asked ) {
+        const bool alreadyRequested = now - m_specRequestedAt < specRetryDelay;
+        if( peer.spec != m_wantedSpec || m_knownSpec == m_wantedSpec || alreadyRequested ) {
             return;
         }
-        m_specAsked = now;
+        m_specRequestedAt = now;
         peer.channel->send(
             gateway::encode( gateway::Message( gateway::SpecRequest{ peer.spec } ) ) );
     }
 
-    void takeSpec( gateway::SpecAnswer news ) {
+    void handleSpecAnswer( gateway::SpecAnswer news ) {
         if( news.key != m_wantedSpec ) {
             log::info( "engine_spec_outdated",
                        { { "spec", static_cast<std::int64_t>( news.key ) },
                          { "wanted", static_cast<std::int64_t>( m_wantedSpec ) } } );
             return;
         }
-        m_spec = news.key;
+        m_knownSpec = news.key;
         m_admission.setEngine( news.engine.cacheTokens, m_gapTarget );
         m_view.setSpec( std::move( news.engine ) );
-        m_wake.cancel();
+        m_pollTimer.cancel();
     }
 
     //! Handles a restart of the engine, which has lost the prompts and cached parts sent before.
-    void startAnew() {
+    void handleEngineRestart() {
         m_sentParts.clear();
         m_admission.failAll();
-        m_publisher.noteChange();
+        m_publisher.requestFullReport();
     }
 
-    void takeRelayAsk( const PeerPtr& peer, const gateway::RelayRequest& ask ) {
+    void handleRelayRequest( const PeerPtr& peer, const gateway::RelayRequest& ask ) {
         if( !ask.wanted ) {
             m_relay.unsubscribe( peer.get() );
             return;
@@ -246,8 +248,8 @@
         } );
     }
 
-    void takeDemand( Peer& peer, const gateway::DemandUpdate& news ) {
-        askSpec( peer );
+    void handleDemandUpdate( Peer& peer, const gateway::DemandUpdate& news ) {
+        requestSpec( peer );
         m_sentParts.add( news.sentParts );
         m_view.noteDemand( news, MonoClock::now() );
         peer.demand.clear();
@@ -258,29 +260,29 @@
         }
     }
 
-    void takeEnsure( const PeerPtr& peer, const gateway::EnsureRequest& ensure ) {
+    void handleEnsureRequest( const PeerPtr& peer, const gateway::EnsureRequest& ensure ) {
         PendingEnsure question;
         question.required = { ensure.model, ensure.adapter, ensure.fromStore };
         question.upstreamId = ensure.upstreamId;
         question.peer = peer;
         question.number = ensure.number;
-        question.key = keyOf( *peer, ensure.number );
+        question.key = ensureKey( *peer, ensure.number );
         question.prompt = ensure.prompt;
         question.since = MonoClock::now();
         m_admission.noteCold( Millis( ensure.coldMs ), ensure.coldPerS, question.since );
-        question.limit = std::min( Millis( ensure.limitMs ), wantLimit );
+        question.limit = std::min( Millis( ensure.limitMs ), maxEnsureWait );
         m_view.noteUse( question.required, question.since );
         if( m_view.spec() && m_reachable &&
             m_view.isResident( question.required, question.since ) ) {
             m_admission.admit( std::move( question ) );
             return;
         }
-        waitForWant( std::move( question ) );
+        queueForLoad( std::move( question ) );
     }
 
     //! Records the shared prompt parts that the engine reads, to publish them to all gateways. The
     //! last part belongs to this request alone.
-    void noteParts( const PendingEnsure& question ) {
+    void recordSharedParts( const PendingEnsure& question ) {
         std::vector<gateway::SentPart> parts;
         for( const auto& it : question.prompt.parts ) {
             parts.push_back( { it.key, it.tokens, question.required.model } );
@@ -291,7 +293,7 @@
         m_sentParts.add( parts );
     }
 
-    Admission::Callbacks admissionHost() {
+    Admission::Callbacks admissionCallbacks() {
         Admission::Callbacks out;
         out.isResident = [this]( const RequiredModel& required ) {
             return m_view.isResident( required, MonoClock::now() );
@@ -301,16 +303,16 @@
             answer( question, outcome, wait, workMs );
         };
         out.notResident = [this]( PendingEnsure question ) {
-            waitForWant( std::move( question ) );
+            queueForLoad( std::move( question ) );
         };
         out.admitted = [this]( const PendingEnsure& question ) {
             m_view.noteUse( question.required, MonoClock::now() );
-            noteParts( question );
+            recordSharedParts( question );
         };
         return out;
     }
 
-    Orders::Callbacks ordersHost() {
+    Orders::Callbacks ordersCallbacks() {
         Orders::Callbacks out;
         out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome ) {
             answer( question, outcome );
@@ -319,27 +321,27 @@
             m_admission.admit( std::move( question ) );
         };
         out.changed = [this] {
-            m_publisher.noteChange();
+            m_publisher.requestFullReport();
         };
         return out;
     }
 
-    void waitForWant( PendingEnsure question ) {
+    void queueForLoad( PendingEnsure question ) {
         m_orders.add( std::move( question ) );
-        m_wake.cancel();
+        m_pollTimer.cancel();
     }
 
-    void forgetQuestion( std::uint64_t key ) {
+    void forgetEnsure( std::uint64_t key ) {
         m_orders.forget( key );
         m_admission.forget( key );
     }
 
-    void forgetQuestions( const Peer& peer ) {
+    void forgetEnsures( const Peer& peer ) {
         m_orders.forgetPeer( peer );
         m_admission.forgetPeer( peer );
     }
 
-    net::Task<> converge() {
+    net::Task<> pollEngine() {
         int failures = 0;
         for( ;; ) {
             auto report = co_await m_engine.report();
@@ -351,29 +353,29 @@
             setReachable( answered, failures );
             m_publisher.publish( MonoClock::now() );
             if( answered && m_view.spec() ) {
-                co_await m_orders.serve();
+                co_await m_orders.processWaiting();
             } else {
-                m_orders.dropOld();
+                m_orders.failOverdue();
             }
-            m_wake.expires_after( pollPause() );
-            co_await m_wake.async_wait( net::tupled );
+            m_pollTimer.expires_after( pollInterval() );
+            co_await m_pollTimer.async_wait( net::tupled );
         }
     }
 
     void takeReport( gateway::EngineReport report ) {
         const auto now = MonoClock::now();
         auto news = m_view.take( std::move( report ), now );
-        for( const auto& it : news.dropped ) {
+        for( const auto& it : news.droppedModels ) {
             m_admission.dropModel( it );
         }
         if( news.restarted ) {
             log::info( "engine_restarted", { { "born", m_view.report().born } } );
-            startAnew();
+            handleEngineRestart();
         }
         if( news.startedEmpty ) {
-            m_orders.recallFromStore();
-        } else if( !news.lost.empty() ) {
-            m_orders.modelRestore( std::move( news.lost ) );
+            m_orders.restoreModelsFromStore();
+        } else if( !news.lostModels.empty() ) {
+            m_orders.restoreModels( std::move( news.lostModels ) );
         }
         if( m_gapTarget.count() > 0 ) {
             m_pauses.update( m_view.report().runs, m_gapTarget, now );
@@ -381,17 +383,17 @@
         m_admission.takeReport( m_view.report(), now );
     }
 
-    Millis pollPause() const {
+    Millis pollInterval() const {
         if( m_orders.waiting() ) {
-            return wantPoll;
+            return loadPollInterval;
         }
-        return m_admission.busy( MonoClock::now() ) ? readingPoll : idlePoll;
+        return m_admission.busy( MonoClock::now() ) ? readingPollInterval : idlePollInterval;
     }
 
     void setReachable( bool answered, int failures ) {
-        const bool now = answered || ( m_reachable && failures < failuresToLost );
+        const bool now = answered || ( m_reachable && failures < failedPollsToUnreachable );
         if( now != m_reachable ) {
-            logEngine( now );
+            logReachability( now );
             m_reachable = now;
             m_publisher.setReachable( now );
             if( !now ) {
@@ -401,7 +403,7 @@
     }
 
     //! Logs the change with the last report's runs, and whether an order was under way then.
-    void logEngine( bool reachable ) const {
+    void logReachability( bool reachable ) const {
         const auto& last = m_view.report();
         log::info( reachable ? "engine_regained" : "engine_lost",
                    { { "running", static_cast<std::int64_t>( last.running ) },
@@ -417,12 +419,12 @@
         if( !peer ) {
             return;
         }
-        if( question.loaded ) {
+        if( question.neededLoad ) {
             m_publisher.sendReport( *peer, {} );
         }
         const auto now = MonoClock::now();
         if( outcome == EnsureOutcome::ready ) {
-            m_view.noteLetIn( question.required.model, workMs, now );
+            m_view.noteAdmitted( question.required.model, workMs, now );
         }
         m_metrics.count( "wants", gateway::nameOf( outcome ) );
         const gateway::Message message(
@@ -443,7 +445,7 @@
         m_context.stop();
     }
 
-    static constexpr Millis peerSilence{ 3000 };
+    static constexpr Millis peerAckLimit{ 3000 };
 
     net::asio::io_context m_context{ 1 };
     platform::NodeSettings m_settings;
@@ -451,22 +453,22 @@
     EngineClient m_engine;
     RandomSource m_random;
     Relay m_relay;
-    net::Timer m_wake;
+    net::Timer m_pollTimer;
     std::set<PeerPtr> m_peers;
     EngineView m_view;
     Orders m_orders;
-    SharedCounts m_counts{ m_peers, m_metrics };
+    SharedCounts m_sharedCounts{ m_peers, m_metrics };
     Admission m_admission;
     SentParts m_sentParts;
     PauseMeter m_pauses;
     Publisher m_publisher;
     QuarantineKeeper m_quarantines;
     net::asio::signal_set m_signals;
-    std::uint64_t m_lastSerial = 0;
+    std::uint64_t m_lastConnectionNumber = 0;
     std::uint64_t m_configVersion = 0;
     gateway::EngineSpecKey m_wantedSpec = 0; //!< specification named by the newest configuration
-    gateway::EngineSpecKey m_spec = 0;       //!< specification that this sidecar has
-    MonoTime m_specAsked;
+    gateway::EngineSpecKey m_knownSpec = 0;  //!< specification that this sidecar has
+    MonoTime m_specRequestedAt;
     std::string m_upstreamId; //!< the engine's present start, as reported by gateways
     Millis m_gapTarget{ 0 };
     bool m_reachable = false;
