--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -55,9 +55,9 @@
         m_callbacks.answer( ensure, EnsureOutcome::tooLate, coldWait, 0 );
         return;
     }
-    const PromptRequest ask{ ensure.key,    ensure.required.model, ensure.required.adapter,
-                             ensure.prompt, ensure.since,          ensure.limit };
-    const auto verdict = m_gate.ask( ask, now );
+    const PromptRequest request{ ensure.key,    ensure.required.model, ensure.required.adapter,
+                                 ensure.prompt, ensure.since,          ensure.limit };
+    const auto verdict = m_gate.ask( request, now );
     if( !verdict.accepted ) {
         m_callbacks.answer( ensure, EnsureOutcome::tooLate, verdict.wait, 0 );
         return;
--- a/src/sidecar/engine_view.cpp
+++ b/src/sidecar/engine_view.cpp
@@ -62,7 +62,7 @@
     m_loadedAt.clear();
     m_admittedRequests.clear();
     m_admittedWork.clear();
-    m_adapterUses.clear();
+    m_adapterUsage.clear();
     m_unloads.clear();
     m_retiring.clear();
 }
@@ -71,7 +71,7 @@
     constexpr double minConnectedShare = 0.8;
     int gateways = 1;
     for( const auto& peer : m_peers ) {
-        gateways = std::max( gateways, peer->gateways );
+        gateways = std::max( gateways, peer->gatewayCount );
     }
     return static_cast<double>( m_peers.size() ) >= minConnectedShare * gateways;
 }
@@ -106,8 +106,8 @@
         }
     }
     const auto admittedWork = m_admittedWork.find( model );
-    const bool known = admittedWork != m_admittedWork.end() && !mostGatewaysConnected();
-    return known ? std::max( out, admittedWork->second.perS( now ) * copies ) : out;
+    const bool useAdmittedWork = admittedWork != m_admittedWork.end() && !mostGatewaysConnected();
+    return useAdmittedWork ? std::max( out, admittedWork->second.perS( now ) * copies ) : out;
 }
 
 ResidencyState EngineView::residencyState( MonoTime now ) const {
@@ -120,7 +120,7 @@
     out.retiring = m_retiring;
     out.retiringSince = m_retiringSince;
     out.unloads = m_unloads;
-    out.adapters = m_adapterUses;
+    out.adapters = m_adapterUsage;
     for( const auto& peer : m_peers ) {
         for( const auto& [model, demand] : peer->demand ) {
             for( const auto& adapter : demand.adaptersUsed ) {
@@ -141,7 +141,7 @@
 
 void EngineView::noteUse( const RequiredModel& required, MonoTime now ) {
     if( !required.adapter.empty() ) {
-        m_adapterUses[adapterKey( required.model, required.adapter )].lastUsed = now;
+        m_adapterUsage[adapterKey( required.model, required.adapter )].lastUsed = now;
     }
 }
 
@@ -150,10 +150,10 @@
     m_admittedWork.try_emplace( model, workRateWindow ).first->second.note( workMs, now );
 }
 
-void EngineView::noteDemand( const gateway::DemandUpdate& news, MonoTime now ) {
-    for( const auto& it : news.models ) {
+void EngineView::noteDemand( const gateway::DemandUpdate& update, MonoTime now ) {
+    for( const auto& it : update.models ) {
         for( const auto& adapter : it.adaptersUsed ) {
-            m_adapterUses[adapterKey( it.model, adapter )].lastUsed = now;
+            m_adapterUsage[adapterKey( it.model, adapter )].lastUsed = now;
         }
     }
 }
--- a/src/sidecar/engine_view.hpp
+++ b/src/sidecar/engine_view.hpp
@@ -50,7 +50,7 @@
     void noteUse( const RequiredModel& required, MonoTime now );
     //! Counts a request that is admitted for a model, and the reading time of its prompt.
     void noteAdmitted( const std::string& model, double workMs, MonoTime now );
-    void noteDemand( const gateway::DemandUpdate& news, MonoTime now );
+    void noteDemand( const gateway::DemandUpdate& update, MonoTime now );
     //! Records an unload order that the engine may carry out.
     void noteUnload( const Step& step, MonoTime now );
     //! Sets the model that gateways are no longer offered; empty: none. True when it has changed.
@@ -72,7 +72,7 @@
     std::map<std::string, MonoTime> m_loadedAt;
     std::map<std::string, decide::SmoothedRate> m_admittedRequests; //!< admitted requests, by model
     std::map<std::string, decide::SmoothedRate> m_admittedWork;     //!< reading in ms, by model
-    std::map<std::string, Usage, std::less<>> m_adapterUses;
+    std::map<std::string, Usage, std::less<>> m_adapterUsage;
     std::vector<PendingUnload> m_unloads; //!< ordered and not yet known to be complete
     std::string m_retiring; //!< model to be unloaded once its requests have ended; or empty
     MonoTime m_retiringSince;
--- a/src/sidecar/orders.cpp
+++ b/src/sidecar/orders.cpp
@@ -179,7 +179,7 @@
 net::Task<> Orders::processWaiting() {
     std::optional<Step> order;
     std::string upstreamId;
-    std::string retire;
+    std::string modelToRetire;
     const auto now = MonoClock::now();
     const auto state = m_view.residencyState( now );
     for( auto it = m_waiting.begin(); it != m_waiting.end(); ) {
@@ -198,7 +198,7 @@
             continue;
         }
         if( step.kind == StepKind::retire ) {
-            retire = step.model;
+            modelToRetire = step.model;
         }
         const bool needsOrder = step.kind == StepKind::load || step.kind == StepKind::unload;
         // Adapters go first: they load within milliseconds.
@@ -208,7 +208,7 @@
         }
         ++it;
     }
-    if( m_view.setRetiring( retire, now ) ) {
+    if( m_view.setRetiring( modelToRetire, now ) ) {
         m_callbacks.changed();
     }
     if( m_fencingToken == 0 ) {
--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -13,20 +13,20 @@
 //! Smooths the usual prompt size over about the last ten prompts.
 constexpr double typicalSmoothing = 0.1;
 
-gateway::Generation generationOf( const PromptRequest& ask ) {
+gateway::Generation generationOf( const PromptRequest& request ) {
     gateway::Generation out;
-    out.model = ask.model;
-    out.adapter = ask.adapter;
-    out.promptTokens = ask.prompt.tokens;
-    for( const auto& it : ask.prompt.parts ) {
+    out.model = request.model;
+    out.adapter = request.adapter;
+    out.promptTokens = request.prompt.tokens;
+    for( const auto& it : request.prompt.parts ) {
         out.parts.push_back( { it.key, it.tokens } );
     }
     return out;
 }
 
-std::vector<std::uint64_t> partKeysOf( const PromptRequest& ask ) {
+std::vector<std::uint64_t> partKeysOf( const PromptRequest& request ) {
     std::vector<std::uint64_t> out;
-    for( const auto& it : ask.prompt.parts ) {
+    for( const auto& it : request.prompt.parts ) {
         out.push_back( it.key );
     }
     return out;
@@ -42,22 +42,23 @@
     }
 }
 
-double PromptGate::uncachedWorkMs( const PromptRequest& ask ) const {
-    const auto cachedTokens = m_prefixes.cachedTokens( partKeysOf( ask ), generationOf( ask ) );
-    const auto uncachedTokens = std::max<std::int64_t>( ask.prompt.tokens - cachedTokens, 0 );
-    return static_cast<double>( uncachedTokens ) * ask.prompt.msPerToken;
+double PromptGate::uncachedWorkMs( const PromptRequest& request ) const {
+    const auto cachedTokens =
+        m_prefixes.cachedTokens( partKeysOf( request ), generationOf( request ) );
+    const auto uncachedTokens = std::max<std::int64_t>( request.prompt.tokens - cachedTokens, 0 );
+    return static_cast<double>( uncachedTokens ) * request.prompt.msPerToken;
 }
 
-decide::ReadingVerdict PromptGate::ask( const PromptRequest& ask, MonoTime now ) {
-    const auto goal = ask.since + std::min( Millis( ask.prompt.goalMs ), ask.limit );
-    decide::ReadingRequest reading{ ask.key, uncachedWorkMs( ask ), goal };
+decide::ReadingVerdict PromptGate::ask( const PromptRequest& request, MonoTime now ) {
+    const auto goal = request.since + std::min( Millis( request.prompt.goalMs ), request.limit );
+    decide::ReadingRequest reading{ request.key, uncachedWorkMs( request ), goal };
     auto verdict = m_queue.ask( reading, now );
-    if( !verdict.accepted && ask.prompt.late ) {
-        reading.startBy = ask.since + ask.limit;
+    if( !verdict.accepted && request.prompt.late ) {
+        reading.startBy = request.since + request.limit;
         verdict = m_queue.ask( reading, now );
     }
     if( verdict.accepted ) {
-        m_waiting.emplace( ask.key, ask );
+        m_waiting.emplace( request.key, request );
     }
     return verdict;
 }
--- a/src/sidecar/prompt_gate.hpp
+++ b/src/sidecar/prompt_gate.hpp
@@ -45,7 +45,7 @@
     //! zero.
     void setEngine( std::int64_t cacheTokens, Millis gapTarget );
     //! Queues a prompt, or refuses it and returns when the engine could start to read it.
-    decide::ReadingVerdict ask( const PromptRequest& ask, MonoTime now );
+    decide::ReadingVerdict ask( const PromptRequest& request, MonoTime now );
     //! Removes and returns the prompts that may be sent now.
     std::vector<AdmittedPrompt> takeAdmitted( MonoTime now );
     //! Removes the prompts that can no longer start in time, and returns their keys.
@@ -68,7 +68,7 @@
     bool busy( MonoTime now ) const { return m_queue.busy( now ); }
 
 private:
-    double uncachedWorkMs( const PromptRequest& ask ) const;
+    double uncachedWorkMs( const PromptRequest& request ) const;
 
     decide::ReadingQueue m_queue;
     gateway::PrefixCache m_prefixes;
--- a/src/sidecar/publisher.cpp
+++ b/src/sidecar/publisher.cpp
@@ -42,11 +42,11 @@
         !m_sources.view.spec() || hasAdapterCapacity( m_sources.view.residencyState( now ), now );
     out.gateways = static_cast<int>( m_sources.peers.size() );
     constexpr double percent = 100;
-    double reading = 0;
+    double readingShare = 0;
     for( const auto& it : m_sources.peers ) {
-        reading += it->reading;
+        readingShare += it->readingShare;
     }
-    out.readingPercent = static_cast<int>( reading * percent );
+    out.readingPercent = static_cast<int>( readingShare * percent );
     out.readingWaitMs = m_sources.admission.typicalWait( now ).count();
     out.latePausesPercent = static_cast<int>( m_sources.pauses.lateShare( now ) * percent );
     return out;
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/question.hpp
@@ -18,9 +18,9 @@
     std::shared_ptr<net::FrameChannel> channel;
     std::string gateway;
     std::map<std::string, gateway::ModelDemand> demand; //!< by model
-    double reading = 0;                 //!< share of the engine's time that its prompts take
+    double readingShare = 0;            //!< share of the engine's time that its prompts take
     gateway::EngineSpecKey spec = 0;    //!< key of the engine specification that it holds
-    int gateways = 1;                   //!< number of running gateways that it knows of
+    int gatewayCount = 1;               //!< number of running gateways that it knows of
     std::uint64_t connectionNumber = 0; //!< number of the connection, unique in this process
 };
 using PeerPtr = std::shared_ptr<Peer>;
--- a/src/sidecar/relay.cpp
+++ b/src/sidecar/relay.cpp
@@ -61,15 +61,15 @@
 }
 
 //! Adds an evacuation by its name, or a quarantine with the time that is left of it now.
-void addObject( StoreUpdate& news, const platform::StoreObject& object ) {
-    if( news.part == StorePart::evacuations ) {
-        news.emptied.push_back( object.name );
+void addObject( StoreUpdate& update, const platform::StoreObject& object ) {
+    if( update.part == StorePart::evacuations ) {
+        update.emptied.push_back( object.name );
         return;
     }
     std::string problem;
     const auto quarantine = platform::readQuarantine( object, systemClock().wall(), problem );
     if( quarantine && quarantine->holdMs > 0 ) {
-        news.quarantines.push_back( *quarantine );
+        update.quarantines.push_back( *quarantine );
     }
 }
 
@@ -92,7 +92,7 @@
     }
     for( const auto& it : m_parts ) {
         if( it->listed && it->reachable ) {
-            subscriber.whole.insert( it->part );
+            subscriber.snapshotSent.insert( it->part );
             subscriber.send( gateway::encode( gateway::Message( snapshotOf( *it ) ) ) );
         }
     }
@@ -176,7 +176,7 @@
         if( position.era != it->position.era ) {
             // Changes do not apply to a snapshot of another era: subscribers need a new snapshot.
             for( auto& subscriber : m_subscribers ) {
-                subscriber.second.whole.erase( it->part );
+                subscriber.second.snapshotSent.erase( it->part );
             }
         }
         it->position = position;
@@ -249,7 +249,7 @@
         }
         part.objects[object.name] = object;
         part.changed.insert( object.name );
-        part.gone.erase( object.name );
+        part.removed.erase( object.name );
         return;
     }
     auto upstream = part.reader.upstream( object );
@@ -262,14 +262,14 @@
     if( it == part.upstreams.end() || needsUpdate( it->second, *upstream ) ) {
         part.changed.insert( object.name );
     }
-    part.gone.erase( object.name );
+    part.removed.erase( object.name );
     part.upstreams[object.name] = std::move( *upstream );
 }
 
 void Relay::remove( WatchedPart& part, const std::string& name ) {
     if( part.upstreams.erase( name ) + part.objects.erase( name ) > 0 ) {
         part.changed.erase( name );
-        part.gone.insert( name );
+        part.removed.insert( name );
     }
 }
 
@@ -299,7 +299,7 @@
             out.upstreams.push_back( part.upstreams.at( it ) );
         }
     }
-    out.gone.assign( part.gone.begin(), part.gone.end() );
+    out.gone.assign( part.removed.begin(), part.removed.end() );
     if( part.configurationChanged ) {
         out.configuration = part.configuration;
     }
@@ -307,29 +307,29 @@
 }
 
 void Relay::publish( WatchedPart& part ) {
-    const auto news = gateway::encode( gateway::Message( changesOf( part ) ) );
-    std::string whole;
+    const auto update = gateway::encode( gateway::Message( changesOf( part ) ) );
+    std::string snapshot;
     for( auto& [connection, subscriber] : m_subscribers ) {
-        if( !subscriber.whole.insert( part.part ).second ) {
-            subscriber.send( news );
+        if( !subscriber.snapshotSent.insert( part.part ).second ) {
+            subscriber.send( update );
             continue;
         }
-        if( whole.empty() ) {
-            whole = gateway::encode( gateway::Message( snapshotOf( part ) ) );
+        if( snapshot.empty() ) {
+            snapshot = gateway::encode( gateway::Message( snapshotOf( part ) ) );
         }
-        subscriber.send( whole );
+        subscriber.send( snapshot );
     }
     part.changed.clear();
-    part.gone.clear();
+    part.removed.clear();
     part.configurationChanged = false;
 }
 
 void Relay::publishUnreachable( WatchedPart& part ) {
-    StoreUpdate news;
-    news.part = part.part;
-    news.position = part.position;
-    news.reachable = false;
-    const auto encoded = gateway::encode( gateway::Message( std::move( news ) ) );
+    StoreUpdate update;
+    update.part = part.part;
+    update.position = part.position;
+    update.reachable = false;
+    const auto encoded = gateway::encode( gateway::Message( std::move( update ) ) );
     for( auto& it : m_subscribers ) {
         it.second.send( encoded );
     }
--- a/src/sidecar/relay.hpp
+++ b/src/sidecar/relay.hpp
@@ -45,14 +45,14 @@
         std::map<std::string, platform::StoreObject> objects; //!< quarantines or evacuations
         gateway::ObjectReader reader;
         std::set<std::string> changed; //!< objects changed since the last message, by name
-        std::set<std::string> gone;    //!< objects removed since the last message, by name
+        std::set<std::string> removed; //!< objects removed since the last message, by name
         bool configurationChanged = false;
     };
     using PartPtr = std::shared_ptr<WatchedPart>;
 
     struct Subscriber {
         Send send;
-        std::set<gateway::StorePart> whole; //!< parts whose snapshot was sent
+        std::set<gateway::StorePart> snapshotSent; //!< parts whose snapshot was sent
     };
 
     void startPart( gateway::StorePart kind );
--- a/src/sidecar/residency.hpp
+++ b/src/sidecar/residency.hpp
@@ -65,12 +65,12 @@
 };
 
 enum class StepKind {
-    ready,     //!< resident
-    unloading, //!< being unloaded: requests are neither admitted nor queued for it
-    wait,      //!< an order under way has to finish first
-    load,      //!< order to load `model` or `adapter`
-    unload,    //!< order to unload `model` or `adapter`, to free capacity
-    retire, //!< stop sending requests for `model`, and unload it when the running ones have ended
+    ready,            //!< resident
+    unloading,        //!< being unloaded: requests are neither admitted nor queued for it
+    wait,             //!< an order under way has to finish first
+    load,             //!< order to load `model` or `adapter`
+    unload,           //!< order to unload `model` or `adapter`, to free capacity
+    retire,           //!< stop new requests for `model`; unload it when its runs have ended
     noCapacity,       //!< nothing may be unloaded now
     needsWeightStore, //!< only the weight store has it, and loading from there is not allowed
     unknown,          //!< the engine's service does not offer the model
--- a/src/sidecar/shared_counts.cpp
+++ b/src/sidecar/shared_counts.cpp
@@ -33,16 +33,16 @@
 
 bool SharedCounts::handleQuota( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
-    if( const auto* news = std::get_if<decide::QuotaUpdate>( &message ) ) {
-        m_quotas.takeUpdate( *news, now );
+    if( const auto* update = std::get_if<decide::QuotaUpdate>( &message ) ) {
+        m_quotas.takeUpdate( *update, now );
         return true;
     }
     if( const auto* returned = std::get_if<decide::QuotaReturn>( &message ) ) {
         m_quotas.acceptReturn( *returned, now );
         return true;
     }
-    if( const auto* ask = std::get_if<decide::QuotaRequest>( &message ) ) {
-        const auto answer = m_quotas.ask( peer.gateway, *ask, now );
+    if( const auto* request = std::get_if<decide::QuotaRequest>( &message ) ) {
+        const auto answer = m_quotas.ask( peer.gateway, *request, now );
         m_metrics.count( "quota_asks", answer.granted > 0 ? "granted" : "refused" );
         send( peer, gateway::Message( answer ) );
         return true;
@@ -52,8 +52,8 @@
 
 bool SharedCounts::handleLimit( const Peer& peer, const gateway::Message& message ) {
     const auto now = MonoClock::now();
-    if( const auto* news = std::get_if<decide::LimitUpdate>( &message ) ) {
-        m_limits.takeUpdate( *news, now );
+    if( const auto* update = std::get_if<decide::LimitUpdate>( &message ) ) {
+        m_limits.takeUpdate( *update, now );
         broadcastLimits( now );
         return true;
     }
@@ -61,8 +61,8 @@
         m_limits.acceptReturn( *returned, now );
         return true;
     }
-    if( const auto* ask = std::get_if<decide::LimitRequest>( &message ) ) {
-        const auto answer = m_limits.ask( peer.gateway, *ask, now );
+    if( const auto* request = std::get_if<decide::LimitRequest>( &message ) ) {
+        const auto answer = m_limits.ask( peer.gateway, *request, now );
         m_metrics.count( "limit_asks", nameOf( answer.verdict ) );
         send( peer, gateway::Message( answer ) );
         broadcastLimits( now );
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -130,20 +130,20 @@
             log::warn( "gateway_message_malformed", { { "gateway", peer->gateway } } );
             return;
         }
-        if( const auto* news = std::get_if<gateway::EngineUpdate>( &*message ) ) {
-            handleEngineUpdate( *peer, *news );
+        if( const auto* update = std::get_if<gateway::EngineUpdate>( &*message ) ) {
+            handleEngineUpdate( *peer, *update );
         } else if( auto* spec = std::get_if<gateway::SpecAnswer>( &*message ) ) {
             handleSpecAnswer( std::move( *spec ) );
-        } else if( const auto* ensure = std::get_if<gateway::EnsureRequest>( &*message ) ) {
-            handleEnsureRequest( peer, *ensure );
+        } else if( const auto* ensureRequest = std::get_if<gateway::EnsureRequest>( &*message ) ) {
+            handleEnsureRequest( peer, *ensureRequest );
         } else if( const auto* demand = std::get_if<gateway::DemandUpdate>( &*message ) ) {
             handleDemandUpdate( *peer, *demand );
-        } else if( const auto* ask = std::get_if<gateway::RelayRequest>( &*message ) ) {
-            handleRelayRequest( peer, *ask );
+        } else if( const auto* relayRequest = std::get_if<gateway::RelayRequest>( &*message ) ) {
+            handleRelayRequest( peer, *relayRequest );
         } else if( const auto* cancel = std::get_if<gateway::EnsureCancel>( &*message ) ) {
             forgetEnsure( ensureKey( *peer, cancel->number ) );
         } else if( !handlePoisonMessage( *message ) ) {
-            m_sharedCounts.take( *peer, *message );
+            m_sharedCounts.handle( *peer, *message );
         }
     }
 
@@ -151,7 +151,7 @@
     bool handlePoisonMessage( const gateway::Message& message ) {
         const auto now = MonoClock::now();
         if( const auto* evidence = std::get_if<decide::PoisonEvidence>( &message ) ) {
-            m_quarantines.take( *evidence, now );
+            m_quarantines.countUpstreamEnds( *evidence, now );
             return true;
         }
         if( const auto* cleared = std::get_if<decide::PoisonCleared>( &message ) ) {
@@ -172,34 +172,34 @@
     //! Sends all quarantines to a gateway that has just connected: it may have started after they
     //! were broadcast.
     void sendQuarantines( Peer& peer ) {
-        decide::QuarantineUpdate news{ m_quarantines.all( MonoClock::now() ) };
-        if( !news.entries.empty() ) {
-            peer.channel->send( gateway::encode( gateway::Message( std::move( news ) ) ) );
+        decide::QuarantineUpdate update{ m_quarantines.all( MonoClock::now() ) };
+        if( !update.entries.empty() ) {
+            peer.channel->send( gateway::encode( gateway::Message( std::move( update ) ) ) );
         }
     }
 
-    void handleEngineUpdate( Peer& peer, const gateway::EngineUpdate& news ) {
+    void handleEngineUpdate( Peer& peer, const gateway::EngineUpdate& update ) {
         const bool first = peer.gateway.empty();
         if( first ) {
-            log::info( "gateway_connected", { { "gateway", news.gateway } } );
+            log::info( "gateway_connected", { { "gateway", update.gateway } } );
             sendQuarantines( peer );
         }
-        peer.gateway = news.gateway;
-        const bool former = gateway::isOlderStart( news.born, m_view.report().born );
-        if( news.upstreamId != m_upstreamId && !former ) {
-            m_upstreamId = news.upstreamId;
-            m_orders.setEngine( news.upstreamId );
+        peer.gateway = update.gateway;
+        const bool olderStart = gateway::isOlderStart( update.born, m_view.report().born );
+        if( update.upstreamId != m_upstreamId && !olderStart ) {
+            m_upstreamId = update.upstreamId;
+            m_orders.setEngine( update.upstreamId );
             handleEngineRestart();
         }
-        if( news.configVersion >= m_configVersion ) {
-            m_configVersion = news.configVersion;
-            m_gapTarget = Millis( news.gapTargetMs );
-            m_wantedSpec = news.spec;
+        if( update.configVersion >= m_configVersion ) {
+            m_configVersion = update.configVersion;
+            m_gapTarget = Millis( update.gapTargetMs );
+            m_wantedSpec = update.spec;
             if( m_view.spec() ) {
                 m_admission.setEngine( m_view.spec()->cacheTokens, m_gapTarget );
             }
         }
-        peer.spec = news.spec;
+        peer.spec = update.spec;
         requestSpec( peer );
         m_publisher.sendReport( peer,
                                 first ? m_sentParts.all() : std::vector<gateway::SentPart>{} );
@@ -218,16 +218,16 @@
             gateway::encode( gateway::Message( gateway::SpecRequest{ peer.spec } ) ) );
     }
 
-    void handleSpecAnswer( gateway::SpecAnswer news ) {
-        if( news.key != m_wantedSpec ) {
+    void handleSpecAnswer( gateway::SpecAnswer specAnswer ) {
+        if( specAnswer.key != m_wantedSpec ) {
             log::info( "engine_spec_outdated",
-                       { { "spec", static_cast<std::int64_t>( news.key ) },
+                       { { "spec", static_cast<std::int64_t>( specAnswer.key ) },
                          { "wanted", static_cast<std::int64_t>( m_wantedSpec ) } } );
             return;
         }
-        m_knownSpec = news.key;
-        m_admission.setEngine( news.engine.cacheTokens, m_gapTarget );
-        m_view.setSpec( std::move( news.engine ) );
+        m_knownSpec = specAnswer.key;
+        m_admission.setEngine( specAnswer.engine.cacheTokens, m_gapTarget );
+        m_view.setSpec( std::move( specAnswer.engine ) );
         m_pollTimer.cancel();
     }
 
@@ -238,8 +238,8 @@
         m_publisher.requestFullReport();
     }
 
-    void handleRelayRequest( const PeerPtr& peer, const gateway::RelayRequest& ask ) {
-        if( !ask.wanted ) {
+    void handleRelayRequest( const PeerPtr& peer, const gateway::RelayRequest& request ) {
+        if( !request.wanted ) {
             m_relay.unsubscribe( peer.get() );
             return;
         }
@@ -248,44 +248,43 @@
         } );
     }
 
-    void handleDemandUpdate( Peer& peer, const gateway::DemandUpdate& news ) {
+    void handleDemandUpdate( Peer& peer, const gateway::DemandUpdate& update ) {
         requestSpec( peer );
-        m_sentParts.add( news.sentParts );
-        m_view.noteDemand( news, MonoClock::now() );
+        m_sentParts.add( update.sentParts );
+        m_view.noteDemand( update, MonoClock::now() );
         peer.demand.clear();
-        peer.reading = news.reading;
-        peer.gateways = news.gateways;
-        for( const auto& it : news.models ) {
+        peer.readingShare = update.reading;
+        peer.gatewayCount = update.gateways;
+        for( const auto& it : update.models ) {
             peer.demand.emplace( it.model, it );
         }
     }
 
-    void handleEnsureRequest( const PeerPtr& peer, const gateway::EnsureRequest& ensure ) {
-        PendingEnsure question;
-        question.required = { ensure.model, ensure.adapter, ensure.fromStore };
-        question.upstreamId = ensure.upstreamId;
-        question.peer = peer;
-        question.number = ensure.number;
-        question.key = ensureKey( *peer, ensure.number );
-        question.prompt = ensure.prompt;
-        question.since = MonoClock::now();
-        m_admission.noteCold( Millis( ensure.coldMs ), ensure.coldPerS, question.since );
-        question.limit = std::min( Millis( ensure.limitMs ), maxEnsureWait );
-        m_view.noteUse( question.required, question.since );
-        if( m_view.spec() && m_reachable &&
-            m_view.isResident( question.required, question.since ) ) {
-            m_admission.admit( std::move( question ) );
+    void handleEnsureRequest( const PeerPtr& peer, const gateway::EnsureRequest& request ) {
+        PendingEnsure ensure;
+        ensure.required = { request.model, request.adapter, request.fromStore };
+        ensure.upstreamId = request.upstreamId;
+        ensure.peer = peer;
+        ensure.number = request.number;
+        ensure.key = ensureKey( *peer, request.number );
+        ensure.prompt = request.prompt;
+        ensure.since = MonoClock::now();
+        m_admission.noteCold( Millis( request.coldMs ), request.coldPerS, ensure.since );
+        ensure.limit = std::min( Millis( request.limitMs ), maxEnsureWait );
+        m_view.noteUse( ensure.required, ensure.since );
+        if( m_view.spec() && m_reachable && m_view.isResident( ensure.required, ensure.since ) ) {
+            m_admission.admit( std::move( ensure ) );
             return;
         }
-        queueForLoad( std::move( question ) );
+        queueForLoad( std::move( ensure ) );
     }
 
     //! Records the shared prompt parts that the engine reads, to publish them to all gateways. The
     //! last part belongs to this request alone.
-    void recordSharedParts( const PendingEnsure& question ) {
+    void recordSharedParts( const PendingEnsure& ensure ) {
         std::vector<gateway::SentPart> parts;
-        for( const auto& it : question.prompt.parts ) {
-            parts.push_back( { it.key, it.tokens, question.required.model } );
+        for( const auto& it : ensure.prompt.parts ) {
+            parts.push_back( { it.key, it.tokens, ensure.required.model } );
         }
         if( !parts.empty() ) {
             parts.pop_back();
@@ -298,27 +297,27 @@
         out.isResident = [this]( const RequiredModel& required ) {
             return m_view.isResident( required, MonoClock::now() );
         };
-        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome, Millis wait,
+        out.answer = [this]( const PendingEnsure& ensure, EnsureOutcome outcome, Millis wait,
                              double workMs ) {
-            answer( question, outcome, wait, workMs );
+            answer( ensure, outcome, wait, workMs );
         };
-        out.notResident = [this]( PendingEnsure question ) {
-            queueForLoad( std::move( question ) );
+        out.notResident = [this]( PendingEnsure ensure ) {
+            queueForLoad( std::move( ensure ) );
         };
-        out.admitted = [this]( const PendingEnsure& question ) {
-            m_view.noteUse( question.required, MonoClock::now() );
-            recordSharedParts( question );
+        out.admitted = [this]( const PendingEnsure& ensure ) {
+            m_view.noteUse( ensure.required, MonoClock::now() );
+            recordSharedParts( ensure );
         };
         return out;
     }
 
     Orders::Callbacks ordersCallbacks() {
         Orders::Callbacks out;
-        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome ) {
-            answer( question, outcome );
+        out.answer = [this]( const PendingEnsure& ensure, EnsureOutcome outcome ) {
+            answer( ensure, outcome );
         };
-        out.ready = [this]( PendingEnsure question ) {
-            m_admission.admit( std::move( question ) );
+        out.ready = [this]( PendingEnsure ensure ) {
+            m_admission.admit( std::move( ensure ) );
         };
         out.changed = [this] {
             m_publisher.requestFullReport();
@@ -326,8 +325,8 @@
         return out;
     }
 
-    void queueForLoad( PendingEnsure question ) {
-        m_orders.add( std::move( question ) );
+    void queueForLoad( PendingEnsure ensure ) {
+        m_orders.add( std::move( ensure ) );
         m_pollTimer.cancel();
     }
 
@@ -364,18 +363,18 @@
 
     void takeReport( gateway::EngineReport report ) {
         const auto now = MonoClock::now();
-        auto news = m_view.take( std::move( report ), now );
-        for( const auto& it : news.droppedModels ) {
+        auto changes = m_view.take( std::move( report ), now );
+        for( const auto& it : changes.droppedModels ) {
             m_admission.dropModel( it );
         }
-        if( news.restarted ) {
+        if( changes.restarted ) {
             log::info( "engine_restarted", { { "born", m_view.report().born } } );
             handleEngineRestart();
         }
-        if( news.startedEmpty ) {
+        if( changes.startedEmpty ) {
             m_orders.restoreModelsFromStore();
-        } else if( !news.lostModels.empty() ) {
-            m_orders.restoreModels( std::move( news.lostModels ) );
+        } else if( !changes.lostModels.empty() ) {
+            m_orders.restoreModels( std::move( changes.lostModels ) );
         }
         if( m_gapTarget.count() > 0 ) {
             m_pauses.update( m_view.report().runs, m_gapTarget, now );
@@ -391,12 +390,12 @@
     }
 
     void setReachable( bool answered, int failures ) {
-        const bool now = answered || ( m_reachable && failures < failedPollsToUnreachable );
-        if( now != m_reachable ) {
-            logReachability( now );
-            m_reachable = now;
-            m_publisher.setReachable( now );
-            if( !now ) {
+        const bool reachable = answered || ( m_reachable && failures < failedPollsToUnreachable );
+        if( reachable != m_reachable ) {
+            logReachability( reachable );
+            m_reachable = reachable;
+            m_publisher.setReachable( reachable );
+            if( !reachable ) {
                 m_admission.failAll();
             }
         }
@@ -413,23 +412,23 @@
                      { "order_age_ms", m_orders.lastOrderAge( MonoClock::now() ) } } );
     }
 
-    void answer( const PendingEnsure& question, EnsureOutcome outcome, Millis wait = Millis{ 0 },
+    void answer( const PendingEnsure& ensure, EnsureOutcome outcome, Millis wait = Millis{ 0 },
                  double workMs = 0 ) {
-        const auto peer = question.peer.lock();
+        const auto peer = ensure.peer.lock();
         if( !peer ) {
             return;
         }
-        if( question.neededLoad ) {
+        if( ensure.neededLoad ) {
             m_publisher.sendReport( *peer, {} );
         }
         const auto now = MonoClock::now();
         if( outcome == EnsureOutcome::ready ) {
-            m_view.noteAdmitted( question.required.model, workMs, now );
+            m_view.noteAdmitted( ensure.required.model, workMs, now );
         }
         m_metrics.count( "wants", gateway::nameOf( outcome ) );
         const gateway::Message message(
-            gateway::EnsureAnswer{ question.number, outcome, wait.count(), workMs,
-                                   m_view.workPerS( question.required.model, now ) } );
+            gateway::EnsureAnswer{ ensure.number, outcome, wait.count(), workMs,
+                                   m_view.workPerS( ensure.required.model, now ) } );
         peer->channel->send( gateway::encode( message ) );
     }
 
