--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -69,20 +69,20 @@
 //! Admits the prompts that are due, and sets the timer for the next one.
 void Admission::admitDue() {
     const auto now = MonoClock::now();
-    for( const auto& permit : m_gate.takeAdmitted( now ) ) {
-        auto entry = m_waiting.extract( permit.key );
+    for( const auto& due : m_gate.takeAdmitted( now ) ) {
+        auto entry = m_waiting.extract( due.key );
         if( entry.empty() ) {
             continue;
         }
         auto& ensure = entry.mapped();
         if( !m_callbacks.isResident( ensure.required ) ) {
-            m_gate.withdraw( permit.key, now );
+            m_gate.withdraw( due.key, now );
             m_callbacks.notResident( std::move( ensure ) );
             continue;
         }
         const auto coldWait = m_coldGate.wait( m_coldPerS, now );
         if( coldWait.count() > 0 ) {
-            m_gate.withdraw( permit.key, now );
+            m_gate.withdraw( due.key, now );
             m_callbacks.answer( ensure, EnsureOutcome::tooLate, coldWait, 0 );
             continue;
         }
@@ -90,8 +90,7 @@
             m_coldGate.take( now );
         }
         m_callbacks.admitted( ensure );
-        m_callbacks.answer( ensure, EnsureOutcome::ready, m_gate.typicalWait( now ),
-                            permit.workMs );
+        m_callbacks.answer( ensure, EnsureOutcome::ready, m_gate.typicalWait( now ), due.workMs );
     }
     for( const auto key : m_gate.takeExpired( now ) ) {
         const auto entry = m_waiting.extract( key );
