--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -7,26 +7,26 @@
 
 namespace {
 
-//! A prompt just let through may still be on its way when the engine reports: an answer to the
-//! gateway, a new connection and the request take some milliseconds each.
-constexpr Millis onItsWay{ 30 };
-//! The usual size follows about the last ten prompts.
-constexpr double usualSmoothing = 0.1;
+//! A prompt admitted within this time may not have reached the engine when it reports: the answer
+//! to the gateway, a new connection and the request take some milliseconds each.
+constexpr Millis maxSendTime{ 30 };
+//! Smooths the usual prompt size over about the last ten prompts.
+constexpr double typicalSmoothing = 0.1;
 
-gateway::Generation generationOf( const PromptRequest& ask ) {
+gateway::Generation generationOf( const PromptRequest& request ) {
     gateway::Generation out;
-    out.model = ask.model;
-    out.adapter = ask.adapter;
-    out.promptTokens = ask.prompt.tokens;
-    for( const auto& it : ask.prompt.parts ) {
+    out.model = request.model;
+    out.adapter = request.adapter;
+    out.promptTokens = request.prompt.tokens;
+    for( const auto& it : request.prompt.parts ) {
         out.parts.push_back( { it.key, it.tokens } );
     }
     return out;
 }
 
-std::vector<std::uint64_t> keysOf( const PromptRequest& ask ) {
+std::vector<std::uint64_t> partKeysOf( const PromptRequest& request ) {
     std::vector<std::uint64_t> out;
-    for( const auto& it : ask.prompt.parts ) {
+    for( const auto& it : request.prompt.parts ) {
         out.push_back( it.key );
     }
     return out;
@@ -42,34 +42,35 @@
     }
 }
 
-double PromptGate::workOf( const PromptRequest& ask ) const {
-    const auto cachedTokens = m_prefixes.cachedTokens( keysOf( ask ), generationOf( ask ) );
-    const auto fresh = std::max<std::int64_t>( ask.prompt.tokens - cachedTokens, 0 );
-    return static_cast<double>( fresh ) * ask.prompt.msPerToken;
+double PromptGate::uncachedWorkMs( const PromptRequest& request ) const {
+    const auto cachedTokens =
+        m_prefixes.cachedTokens( partKeysOf( request ), generationOf( request ) );
+    const auto uncachedTokens = std::max<std::int64_t>( request.prompt.tokens - cachedTokens, 0 );
+    return static_cast<double>( uncachedTokens ) * request.prompt.msPerToken;
 }
 
-decide::ReadingVerdict PromptGate::ask( const PromptRequest& ask, MonoTime now ) {
-    const auto goal = ask.since + std::min( Millis( ask.prompt.goalMs ), ask.limit );
-    decide::ReadingRequest reading{ ask.key, workOf( ask ), goal };
+decide::ReadingVerdict PromptGate::ask( const PromptRequest& request, MonoTime now ) {
+    const auto goal = request.since + std::min( Millis( request.prompt.goalMs ), request.limit );
+    decide::ReadingRequest reading{ request.key, uncachedWorkMs( request ), goal };
     auto verdict = m_queue.ask( reading, now );
-    if( !verdict.accepted && ask.prompt.late ) {
-        reading.startBy = ask.since + ask.limit;
+    if( !verdict.accepted && request.prompt.late ) {
+        reading.startBy = request.since + request.limit;
         verdict = m_queue.ask( reading, now );
     }
     if( verdict.accepted ) {
-        m_waiting.emplace( ask.key, ask );
+        m_waiting.emplace( request.key, request );
     }
     return verdict;
 }
 
-std::vector<PromptLeave> PromptGate::takeAdmitted( MonoTime now ) {
-    std::vector<PromptLeave> out;
+std::vector<AdmittedPrompt> PromptGate::takeAdmitted( MonoTime now ) {
+    std::vector<AdmittedPrompt> out;
     while( const auto next = m_queue.takeNext( now ) ) {
         const auto it = m_waiting.find( next->key );
-        m_usualWorkMs += usualSmoothing * ( next->workMs - m_usualWorkMs );
-        m_prefixes.insert( keysOf( it->second ), generationOf( it->second ) );
+        m_typicalWorkMs += typicalSmoothing * ( next->workMs - m_typicalWorkMs );
+        m_prefixes.insert( partKeysOf( it->second ), generationOf( it->second ) );
         m_waiting.erase( it );
-        m_leaves.push_back( now );
+        m_admissionTimes.push_back( now );
         out.push_back( { next->key, next->workMs } );
     }
     return out;
@@ -79,11 +80,11 @@
     std::vector<std::uint64_t> out;
     for( auto reading : m_queue.takeExpired( now ) ) {
         const auto it = m_waiting.find( reading.key );
-        const auto last = it->second.since + it->second.limit;
-        // Its goal is lost, but it may be late.
-        const bool again = it->second.prompt.late && reading.startBy < last;
-        reading.startBy = last;
-        if( again && m_queue.ask( reading, now ).accepted ) {
+        const auto latestStart = it->second.since + it->second.limit;
+        // The goal is missed, but this prompt may start late: queue it again within its limit.
+        const bool mayStartLate = it->second.prompt.late && reading.startBy < latestStart;
+        reading.startBy = latestStart;
+        if( mayStartLate && m_queue.ask( reading, now ).accepted ) {
             continue;
         }
         m_waiting.erase( it );
@@ -98,10 +99,10 @@
 }
 
 void PromptGate::noteUnread( std::size_t prompts, MonoTime now ) {
-    while( !m_leaves.empty() && now - m_leaves.front() > onItsWay ) {
-        m_leaves.pop_front();
+    while( !m_admissionTimes.empty() && now - m_admissionTimes.front() > maxSendTime ) {
+        m_admissionTimes.pop_front();
     }
-    m_queue.noteUnread( std::max( prompts, m_leaves.size() ), now );
+    m_queue.noteUnread( std::max( prompts, m_admissionTimes.size() ), now );
 }
 
 void PromptGate::clear() {
--- a/src/sidecar/publisher.hpp
+++ b/src/sidecar/publisher.hpp
@@ -15,8 +15,8 @@
 
 namespace coursehead::sidecar {
 
-//! What a publisher tells of; all outlive it.
-struct PublishedParts {
+//! The objects that a publisher reports on; all must outlive it.
+struct PublisherSources {
     const std::set<PeerPtr>& peers; //!< the connected gateways
     const EngineView& view;
     const Orders& orders;
@@ -25,31 +25,32 @@
     const PauseMeter& pauses;
 };
 
-//! Tells gateways of the engine: all of it when more than the load has changed, else the load.
+//! Sends gateways the engine's state: a full report when more than the load has changed, otherwise
+//! only the load.
 class Publisher {
 public:
-    explicit Publisher( PublishedParts parts ) : m_parts( parts ) {}
+    explicit Publisher( PublisherSources sources ) : m_sources( sources ) {}
 
-    //! More than the load has changed.
-    void noteChange() { m_changed = true; }
-    //! The engine answers, or ceased to.
+    //! Requests a full report: more than the load has changed.
+    void requestFullReport() { m_fullReportNeeded = true; }
+    //! Sets whether the engine is reachable.
     void setReachable( bool reachable );
-    //! Tells all gateways, if there is something to tell or it is time to.
+    //! Sends a report to all gateways if there are changes to report or the last one is old.
     void publish( MonoTime now );
-    //! Tells one gateway all, with these shared parts of prompts.
+    //! Sends a full report to one gateway, with the given shared prompt parts.
     void sendReport( Peer& peer, std::vector<gateway::SentPart> sentParts ) const;
 
 private:
-    Millis pause() const;
+    Millis reportInterval() const;
     gateway::EngineLoad load() const;
     gateway::SidecarReport report() const;
     std::string encodedReport();
     std::string encodedLoad();
 
-    PublishedParts m_parts;
+    PublisherSources m_sources;
     bool m_reachable = false;
-    bool m_changed = false;
-    MonoTime m_published;
+    bool m_fullReportNeeded = false;
+    MonoTime m_publishedAt;
     gateway::EngineReport m_lastPublished;
 };
 
--- a/src/sidecar/shared_counts.hpp
+++ b/src/sidecar/shared_counts.hpp
@@ -11,20 +11,21 @@
 
 namespace coursehead::sidecar {
 
-//! What this sidecar counts for all gateways: organisations' quotas and upstreams' limits.
+//! The counts that this sidecar holds for all gateways: organisations' quotas and upstreams' rate
+//! limits.
 class SharedCounts {
 public:
     SharedCounts( const std::set<PeerPtr>& peers, metrics::Metrics& metrics )
         : m_peers( peers ), m_metrics( metrics ) {}
 
     void setQuotaRule( const decide::QuotaRule& rule ) { m_quotas.setRule( rule ); }
-    //! Takes a message that is about them; false when it is about something else.
-    bool take( const Peer& peer, const gateway::Message& message );
+    //! Handles a message about quotas or limits; returns false for any other message.
+    bool handle( const Peer& peer, const gateway::Message& message );
 
 private:
-    bool takeQuota( const Peer& peer, const gateway::Message& message );
-    bool takeLimit( const Peer& peer, const gateway::Message& message );
-    void spreadLimits( MonoTime now );
+    bool handleQuota( const Peer& peer, const gateway::Message& message );
+    bool handleLimit( const Peer& peer, const gateway::Message& message );
+    void broadcastLimits( MonoTime now );
 
     const std::set<PeerPtr>& m_peers;
     metrics::Metrics& m_metrics;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -32,25 +32,28 @@
 
 using gateway::EnsureOutcome;
 
-//! Pause between reports while nothing is wanted.
-constexpr Millis idlePoll{ 150 };
-//! While prompts are read: the gate follows what the engine has read of them.
-constexpr Millis readingPoll{ 40 };
-//! While a want waits: adapters load within some ten milliseconds, models within seconds.
-constexpr Millis wantPoll{ 12 };
-//! A want that can't be met within this is answered as failed; its request goes elsewhere.
-constexpr Millis wantLimit{ 9000 };
-//! A gateway that was asked for the engine's description may have gone.
-constexpr Millis specAskAgain{ 200 };
-//! Failed reports in a row after which the engine counts as unreachable.
-constexpr int failuresToLost = 2;
-//! Requests that a line names as running at an engine: as many as an engine has places.
-constexpr std::size_t mostRunsLogged = 64;
-
-//! ID:EVENTS of each request that the engine ran, separated by commas.
+//! Time between two polls of the engine's report while no request waits for the engine.
+constexpr Millis idlePollInterval{ 150 };
+//! Likewise while prompts are read: the prompt gate follows the engine's progress in reading them.
+constexpr Millis readingPollInterval{ 40 };
+//! Likewise while an ensure request waits for a load: adapters load within some ten milliseconds,
+//! models within seconds.
+constexpr Millis loadPollInterval{ 12 };
+//! An ensure request that is not met within this time is answered as failed, and the gateway tries
+//! another engine.
+constexpr Millis maxEnsureWait{ 9000 };
+//! Time after which another gateway is asked for the engine's specification; the first one may have
+//! disconnected.
+constexpr Millis specRetryDelay{ 200 };
+//! Consecutive failed polls after which the engine counts as unreachable.
+constexpr int failedPollsToUnreachable = 2;
+//! Running requests that a log line lists: as many as an engine has slots.
+constexpr std::size_t maxRunsLogged = 64;
+
+//! ID:EVENTS of each run, separated by commas.
 std::string runsText( std::span<const gateway::EngineRun> runs ) {
     std::string out;
-    for( const auto& it : runs.first( std::min( runs.size(), mostRunsLogged ) ) ) {
+    for( const auto& it : runs.first( std::min( runs.size(), maxRunsLogged ) ) ) {
         out += ( out.empty() ? "" : "," ) + it.id + ":" + std::to_string( it.events );
     }
     return out;
@@ -61,26 +64,28 @@
     explicit Sidecar( platform::NodeSettings settings )
         : m_settings( std::move( settings ) ), m_engine( m_context, m_settings.engine ),
           m_random( systemSeed() ), m_relay( m_context, m_settings, m_random, m_metrics ),
-          m_wake( m_context ), m_view( m_peers ),
-          m_orders( m_context, m_settings, m_engine, m_view, m_random, m_metrics, ordersHost() ),
-          m_admission( m_context, admissionHost() ),
+          m_pollTimer( m_context ), m_view( m_peers ),
+          m_orders( m_context, m_settings, m_engine, m_view, m_random, m_metrics,
+                    ordersCallbacks() ),
+          m_admission( m_context, admissionCallbacks() ),
           m_publisher( { m_peers, m_view, m_orders, m_admission, m_sentParts, m_pauses } ),
           m_quarantines( m_context, m_settings.store, m_metrics,
-                         [this]( const decide::Quarantine& it ) { tellQuarantine( it ); } ),
+                         [this]( const decide::Quarantine& it ) { broadcastQuarantine( it ); } ),
           m_signals( m_context, SIGTERM, SIGINT, SIGHUP ) {}
 
     int run() {
-        m_counts.setQuotaRule( platform::quotaRule( m_settings.bounds ) );
+        m_sharedCounts.setQuotaRule( platform::quotaRule( m_settings.bounds ) );
         auto acceptor = net::listen( m_context, m_settings.ip, m_settings.firstPort );
         net::start( m_context, acceptPeers( std::move( acceptor ) ), "accept" );
         auto metrics = net::listen( m_context, m_settings.ip, m_settings.metricsPort );
-        gateway::ProbeHandler scraped = [this]( std::string_view path ) {
+        gateway::ProbeHandler metricsHandler = [this]( std::string_view path ) {
             return gateway::metricsAnswer( m_metrics, path );
         };
-        net::start( m_context, gateway::serveProbes( std::move( metrics ), std::move( scraped ) ),
+        net::start( m_context,
+                    gateway::serveProbes( std::move( metrics ), std::move( metricsHandler ) ),
                     "metrics" );
         m_orders.start();
-        net::start( m_context, converge(), "converge" );
+        net::start( m_context, pollEngine(), "converge" );
         net::start( m_context, handleSignals(), "signals" );
         log::info( "started",
                    { { "engine", m_settings.engine.text() }, { "hall", m_settings.hall } } );
@@ -97,7 +102,7 @@
                 log::warn( "accept_failed", { { "detail", ec.message() } } );
                 continue;
             }
-            net::configureSocket( socket, peerSilence );
+            net::configureSocket( socket, peerAckLimit );
             auto task = servePeer( net::Socket( std::move( socket ) ) );
             net::start( m_context, std::move( task ), "peer" );
         }
@@ -105,7 +110,7 @@
 
     net::Task<> servePeer( net::Socket socket ) {
         const auto peer = std::make_shared<Peer>();
-        peer->serial = ++m_lastSerial;
+        peer->connectionNumber = ++m_lastConnectionNumber;
         peer->channel =
             std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::server );
         m_peers.insert( peer );
@@ -115,7 +120,7 @@
         co_await peer->channel->run( std::move( handler ) );
         m_peers.erase( peer );
         m_relay.unsubscribe( peer.get() );
-        forgetQuestions( *peer );
+        forgetEnsures( *peer );
         log::info( "gateway_lost", { { "gateway", peer->gateway } } );
     }
 
@@ -125,28 +130,28 @@
             log::warn( "gateway_message_malformed", { { "gateway", peer->gateway } } );
             return;
         }
-        if( const auto* news = std::get_if<gateway::EngineUpdate>( &*message ) ) {
-            takeNews( *peer, *news );
+        if( const auto* update = std::get_if<gateway::EngineUpdate>( &*message ) ) {
+            handleEngineUpdate( *peer, *update );
         } else if( auto* spec = std::get_if<gateway::SpecAnswer>( &*message ) ) {
-            takeSpec( std::move( *spec ) );
-        } else if( const auto* ensure = std::get_if<gateway::EnsureRequest>( &*message ) ) {
-            takeEnsure( peer, *ensure );
+            handleSpecAnswer( std::move( *spec ) );
+        } else if( const auto* ensureRequest = std::get_if<gateway::EnsureRequest>( &*message ) ) {
+            handleEnsureRequest( peer, *ensureRequest );
         } else if( const auto* demand = std::get_if<gateway::DemandUpdate>( &*message ) ) {
-            takeDemand( *peer, *demand );
-        } else if( const auto* ask = std::get_if<gateway::RelayRequest>( &*message ) ) {
-            takeRelayAsk( peer, *ask );
+            handleDemandUpdate( *peer, *demand );
+        } else if( const auto* relayRequest = std::get_if<gateway::RelayRequest>( &*message ) ) {
+            handleRelayRequest( peer, *relayRequest );
         } else if( const auto* cancel = std::get_if<gateway::EnsureCancel>( &*message ) ) {
-            forgetQuestion( keyOf( *peer, cancel->number ) );
-        } else if( !takePoison( *message ) ) {
-            m_counts.take( *peer, *message );
+            forgetEnsure( ensureKey( *peer, cancel->number ) );
+        } else if( !handlePoisonMessage( *message ) ) {
+            m_sharedCounts.handle( *peer, *message );
         }
     }
 
-    //! What gateways saw of upstreams' ends; false when the message is about something else.
-    bool takePoison( const gateway::Message& message ) {
+    //! Handles a gateway's report about poison requests; returns false for any other message.
+    bool handlePoisonMessage( const gateway::Message& message ) {
         const auto now = MonoClock::now();
         if( const auto* evidence = std::get_if<decide::PoisonEvidence>( &message ) ) {
-            m_quarantines.take( *evidence, now );
+            m_quarantines.countUpstreamEnds( *evidence, now );
             return true;
         }
         if( const auto* cleared = std::get_if<decide::PoisonCleared>( &message ) ) {
@@ -156,7 +161,7 @@
         return false;
     }
 
-    void tellQuarantine( const decide::Quarantine& quarantine ) {
+    void broadcastQuarantine( const decide::Quarantine& quarantine ) {
         const auto encoded =
             gateway::encode( gateway::Message( decide::QuarantineUpdate{ { quarantine } } ) );
         for( const auto& it : m_peers ) {
@@ -164,75 +169,77 @@
         }
     }
 
-    //! A gateway that has just connected may have started after a quarantine was told.
+    //! Sends all quarantines to a gateway that has just connected: it may have started after they
+    //! were broadcast.
     void sendQuarantines( Peer& peer ) {
-        decide::QuarantineUpdate news{ m_quarantines.all( MonoClock::now() ) };
-        if( !news.entries.empty() ) {
-            peer.channel->send( gateway::encode( gateway::Message( std::move( news ) ) ) );
+        decide::QuarantineUpdate update{ m_quarantines.all( MonoClock::now() ) };
+        if( !update.entries.empty() ) {
+            peer.channel->send( gateway::encode( gateway::Message( std::move( update ) ) ) );
         }
     }
 
-    void takeNews( Peer& peer, const gateway::EngineUpdate& news ) {
+    void handleEngineUpdate( Peer& peer, const gateway::EngineUpdate& update ) {
         const bool first = peer.gateway.empty();
         if( first ) {
-            log::info( "gateway_connected", { { "gateway", news.gateway } } );
+            log::info( "gateway_connected", { { "gateway", update.gateway } } );
             sendQuarantines( peer );
         }
-        peer.gateway = news.gateway;
-        const bool former = gateway::isOlderStart( news.born, m_view.report().born );
-        if( news.upstreamId != m_upstreamId && !former ) {
-            m_upstreamId = news.upstreamId;
-            m_orders.setEngine( news.upstreamId );
-            startAnew();
+        peer.gateway = update.gateway;
+        const bool olderStart = gateway::isOlderStart( update.born, m_view.report().born );
+        if( update.upstreamId != m_upstreamId && !olderStart ) {
+            m_upstreamId = update.upstreamId;
+            m_orders.setEngine( update.upstreamId );
+            handleEngineRestart();
         }
-        if( news.configVersion >= m_configVersion ) {
-            m_configVersion = news.configVersion;
-            m_gapTarget = Millis( news.gapTargetMs );
-            m_wantedSpec = news.spec;
+        if( update.configVersion >= m_configVersion ) {
+            m_configVersion = update.configVersion;
+            m_gapTarget = Millis( update.gapTargetMs );
+            m_wantedSpec = update.spec;
             if( m_view.spec() ) {
                 m_admission.setEngine( m_view.spec()->cacheTokens, m_gapTarget );
             }
         }
-        peer.spec = news.spec;
-        askSpec( peer );
+        peer.spec = update.spec;
+        requestSpec( peer );
         m_publisher.sendReport( peer,
                                 first ? m_sentParts.all() : std::vector<gateway::SentPart>{} );
     }
 
-    //! One gateway is asked at a time: all have the same.
-    void askSpec( Peer& peer ) {
+    //! Requests the engine's specification. One gateway is asked at a time, since all have the same
+    //! one.
+    void requestSpec( Peer& peer ) {
         const auto now = MonoClock::now();
-        const bool asked = now - m_specAsked < specAskAgain;
-        if( peer.spec != m_wantedSpec || m_spec == m_wantedSpec || asked ) {
+        const bool alreadyRequested = now - m_specRequestedAt < specRetryDelay;
+        if( peer.spec != m_wantedSpec || m_knownSpec == m_wantedSpec || alreadyRequested ) {
             return;
         }
-        m_specAsked = now;
+        m_specRequestedAt = now;
         peer.channel->send(
             gateway::encode( gateway::Message( gateway::SpecRequest{ peer.spec } ) ) );
     }
 
-    void takeSpec( gateway::SpecAnswer news ) {
-        if( news.key != m_wantedSpec ) {
+    void handleSpecAnswer( gateway::SpecAnswer specAnswer ) {
+        if( specAnswer.key != m_wantedSpec ) {
             log::info( "engine_spec_outdated",
-                       { { "spec", static_cast<std::int64_t>( news.key ) },
+                       { { "spec", static_cast<std::int64_t>( specAnswer.key ) },
                          { "wanted", static_cast<std::int64_t>( m_wantedSpec ) } } );
             return;
         }
-        m_spec = news.key;
-        m_admission.setEngine( news.engine.cacheTokens, m_gapTarget );
-        m_view.setSpec( std::move( news.engine ) );
-        m_wake.cancel();
+        m_knownSpec = specAnswer.key;
+        m_admission.setEngine( specAnswer.engine.cacheTokens, m_gapTarget );
+        m_view.setSpec( std::move( specAnswer.engine ) );
+        m_pollTimer.cancel();
     }
 
-    //! Another start of the engine: it keeps nothing of what was sent before.
-    void startAnew() {
+    //! Handles a restart of the engine, which has lost the prompts and cached parts sent before.
+    void handleEngineRestart() {
         m_sentParts.clear();
         m_admission.failAll();
-        m_publisher.noteChange();
+        m_publisher.requestFullReport();
     }
 
-    void takeRelayAsk( const PeerPtr& peer, const gateway::RelayRequest& ask ) {
-        if( !ask.wanted ) {
+    void handleRelayRequest( const PeerPtr& peer, const gateway::RelayRequest& request ) {
+        if( !request.wanted ) {
             m_relay.unsubscribe( peer.get() );
             return;
         }
@@ -241,44 +248,43 @@
         } );
     }
 
-    void takeDemand( Peer& peer, const gateway::DemandUpdate& news ) {
-        askSpec( peer );
-        m_sentParts.add( news.sentParts );
-        m_view.noteDemand( news, MonoClock::now() );
+    void handleDemandUpdate( Peer& peer, const gateway::DemandUpdate& update ) {
+        requestSpec( peer );
+        m_sentParts.add( update.sentParts );
+        m_view.noteDemand( update, MonoClock::now() );
         peer.demand.clear();
-        peer.reading = news.reading;
-        peer.gateways = news.gateways;
-        for( const auto& it : news.models ) {
+        peer.readingShare = update.reading;
+        peer.gatewayCount = update.gateways;
+        for( const auto& it : update.models ) {
             peer.demand.emplace( it.model, it );
         }
     }
 
-    void takeEnsure( const PeerPtr& peer, const gateway::EnsureRequest& ensure ) {
-        PendingEnsure question;
-        question.required = { ensure.model, ensure.adapter, ensure.fromStore };
-        question.upstreamId = ensure.upstreamId;
-        question.peer = peer;
-        question.number = ensure.number;
-        question.key = keyOf( *peer, ensure.number );
-        question.prompt = ensure.prompt;
-        question.since = MonoClock::now();
-        m_admission.noteCold( Millis( ensure.coldMs ), ensure.coldPerS, question.since );
-        question.limit = std::min( Millis( ensure.limitMs ), wantLimit );
-        m_view.noteUse( question.required, question.since );
-        if( m_view.spec() && m_reachable &&
-            m_view.isResident( question.required, question.since ) ) {
-            m_admission.admit( std::move( question ) );
+    void handleEnsureRequest( const PeerPtr& peer, const gateway::EnsureRequest& request ) {
+        PendingEnsure ensure;
+        ensure.required = { request.model, request.adapter, request.fromStore };
+        ensure.upstreamId = request.upstreamId;
+        ensure.peer = peer;
+        ensure.number = request.number;
+        ensure.key = ensureKey( *peer, request.number );
+        ensure.prompt = request.prompt;
+        ensure.since = MonoClock::now();
+        m_admission.noteCold( Millis( request.coldMs ), request.coldPerS, ensure.since );
+        ensure.limit = std::min( Millis( request.limitMs ), maxEnsureWait );
+        m_view.noteUse( ensure.required, ensure.since );
+        if( m_view.spec() && m_reachable && m_view.isResident( ensure.required, ensure.since ) ) {
+            m_admission.admit( std::move( ensure ) );
             return;
         }
-        waitForWant( std::move( question ) );
+        queueForLoad( std::move( ensure ) );
     }
 
-    //! Other gateways hear which shared parts the engine has read. The last part is the request's
-    //! own.
-    void noteParts( const PendingEnsure& question ) {
+    //! Records the shared prompt parts that the engine reads, to publish them to all gateways. The
+    //! last part belongs to this request alone.
+    void recordSharedParts( const PendingEnsure& ensure ) {
         std::vector<gateway::SentPart> parts;
-        for( const auto& it : question.prompt.parts ) {
-            parts.push_back( { it.key, it.tokens, question.required.model } );
+        for( const auto& it : ensure.prompt.parts ) {
+            parts.push_back( { it.key, it.tokens, ensure.required.model } );
         }
         if( !parts.empty() ) {
             parts.pop_back();
@@ -286,55 +292,55 @@
         m_sentParts.add( parts );
     }
 
-    Admission::Callbacks admissionHost() {
+    Admission::Callbacks admissionCallbacks() {
         Admission::Callbacks out;
         out.isResident = [this]( const RequiredModel& required ) {
             return m_view.isResident( required, MonoClock::now() );
         };
-        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome, Millis wait,
+        out.answer = [this]( const PendingEnsure& ensure, EnsureOutcome outcome, Millis wait,
                              double workMs ) {
-            answer( question, outcome, wait, workMs );
+            answer( ensure, outcome, wait, workMs );
         };
-        out.notResident = [this]( PendingEnsure question ) {
-            waitForWant( std::move( question ) );
+        out.notResident = [this]( PendingEnsure ensure ) {
+            queueForLoad( std::move( ensure ) );
         };
-        out.admitted = [this]( const PendingEnsure& question ) {
-            m_view.noteUse( question.required, MonoClock::now() );
-            noteParts( question );
+        out.admitted = [this]( const PendingEnsure& ensure ) {
+            m_view.noteUse( ensure.required, MonoClock::now() );
+            recordSharedParts( ensure );
         };
         return out;
     }
 
-    Orders::Callbacks ordersHost() {
+    Orders::Callbacks ordersCallbacks() {
         Orders::Callbacks out;
-        out.answer = [this]( const PendingEnsure& question, EnsureOutcome outcome ) {
-            answer( question, outcome );
+        out.answer = [this]( const PendingEnsure& ensure, EnsureOutcome outcome ) {
+            answer( ensure, outcome );
         };
-        out.ready = [this]( PendingEnsure question ) {
-            m_admission.admit( std::move( question ) );
+        out.ready = [this]( PendingEnsure ensure ) {
+            m_admission.admit( std::move( ensure ) );
         };
         out.changed = [this] {
-            m_publisher.noteChange();
+            m_publisher.requestFullReport();
         };
         return out;
     }
 
-    void waitForWant( PendingEnsure question ) {
-        m_orders.add( std::move( question ) );
-        m_wake.cancel();
+    void queueForLoad( PendingEnsure ensure ) {
+        m_orders.add( std::move( ensure ) );
+        m_pollTimer.cancel();
     }
 
-    void forgetQuestion( std::uint64_t key ) {
+    void forgetEnsure( std::uint64_t key ) {
         m_orders.forget( key );
         m_admission.forget( key );
     }
 
-    void forgetQuestions( const Peer& peer ) {
+    void forgetEnsures( const Peer& peer ) {
         m_orders.forgetPeer( peer );
         m_admission.forgetPeer( peer );
     }
 
-    net::Task<> converge() {
+    net::Task<> pollEngine() {
         int failures = 0;
         for( ;; ) {
             auto report = co_await m_engine.report();
@@ -346,29 +352,29 @@
             setReachable( answered, failures );
             m_publisher.publish( MonoClock::now() );
             if( answered && m_view.spec() ) {
-                co_await m_orders.serve();
+                co_await m_orders.processWaiting();
             } else {
-                m_orders.dropOld();
+                m_orders.failOverdue();
             }
-            m_wake.expires_after( pollPause() );
-            co_await m_wake.async_wait( net::tupled );
+            m_pollTimer.expires_after( pollInterval() );
+            co_await m_pollTimer.async_wait( net::tupled );
         }
     }
 
     void takeReport( gateway::EngineReport report ) {
         const auto now = MonoClock::now();
-        auto news = m_view.take( std::move( report ), now );
-        for( const auto& it : news.dropped ) {
+        auto changes = m_view.take( std::move( report ), now );
+        for( const auto& it : changes.droppedModels ) {
             m_admission.dropModel( it );
         }
-        if( news.restarted ) {
+        if( changes.restarted ) {
             log::info( "engine_restarted", { { "born", m_view.report().born } } );
-            startAnew();
+            handleEngineRestart();
         }
-        if( news.startedEmpty ) {
-            m_orders.recallFromStore();
-        } else if( !news.lost.empty() ) {
-            m_orders.modelRestore( std::move( news.lost ) );
+        if( changes.startedEmpty ) {
+            m_orders.restoreModelsFromStore();
+        } else if( !changes.lostModels.empty() ) {
+            m_orders.restoreModels( std::move( changes.lostModels ) );
         }
         if( m_gapTarget.count() > 0 ) {
             m_pauses.update( m_view.report().runs, m_gapTarget, now );
@@ -376,27 +382,27 @@
         m_admission.takeReport( m_view.report(), now );
     }
 
-    Millis pollPause() const {
+    Millis pollInterval() const {
         if( m_orders.waiting() ) {
-            return wantPoll;
+            return loadPollInterval;
         }
-        return m_admission.busy( MonoClock::now() ) ? readingPoll : idlePoll;
+        return m_admission.busy( MonoClock::now() ) ? readingPollInterval : idlePollInterval;
     }
 
     void setReachable( bool answered, int failures ) {
-        const bool now = answered || ( m_reachable && failures < failuresToLost );
-        if( now != m_reachable ) {
-            logEngine( now );
-            m_reachable = now;
-            m_publisher.setReachable( now );
-            if( !now ) {
+        const bool reachable = answered || ( m_reachable && failures < failedPollsToUnreachable );
+        if( reachable != m_reachable ) {
+            logReachability( reachable );
+            m_reachable = reachable;
+            m_publisher.setReachable( reachable );
+            if( !reachable ) {
                 m_admission.failAll();
             }
         }
     }
 
-    //! With what ran, and whether an order was under way, when the engine was heard last.
-    void logEngine( bool reachable ) const {
+    //! Logs the change with the last report's runs, and whether an order was under way then.
+    void logReachability( bool reachable ) const {
         const auto& last = m_view.report();
         log::info( reachable ? "engine_regained" : "engine_lost",
                    { { "running", static_cast<std::int64_t>( last.running ) },
@@ -406,23 +412,23 @@
                      { "order_age_ms", m_orders.lastOrderAge( MonoClock::now() ) } } );
     }
 
-    void answer( const PendingEnsure& question, EnsureOutcome outcome, Millis wait = Millis{ 0 },
+    void answer( const PendingEnsure& ensure, EnsureOutcome outcome, Millis wait = Millis{ 0 },
                  double workMs = 0 ) {
-        const auto peer = question.peer.lock();
+        const auto peer = ensure.peer.lock();
         if( !peer ) {
             return;
         }
-        if( question.loaded ) {
+        if( ensure.neededLoad ) {
             m_publisher.sendReport( *peer, {} );
         }
         const auto now = MonoClock::now();
         if( outcome == EnsureOutcome::ready ) {
-            m_view.noteLetIn( question.required.model, workMs, now );
+            m_view.noteAdmitted( ensure.required.model, workMs, now );
         }
         m_metrics.count( "wants", gateway::nameOf( outcome ) );
         const gateway::Message message(
-            gateway::EnsureAnswer{ question.number, outcome, wait.count(), workMs,
-                                   m_view.workPerS( question.required.model, now ) } );
+            gateway::EnsureAnswer{ ensure.number, outcome, wait.count(), workMs,
+                                   m_view.workPerS( ensure.required.model, now ) } );
         peer->channel->send( gateway::encode( message ) );
     }
 
@@ -438,7 +444,7 @@
         m_context.stop();
     }
 
-    static constexpr Millis peerSilence{ 3000 };
+    static constexpr Millis peerAckLimit{ 3000 };
 
     net::asio::io_context m_context{ 1 };
     platform::NodeSettings m_settings;
@@ -446,23 +452,23 @@
     EngineClient m_engine;
     RandomSource m_random;
     Relay m_relay;
-    net::Timer m_wake;
+    net::Timer m_pollTimer;
     std::set<PeerPtr> m_peers;
     EngineView m_view;
     Orders m_orders;
-    SharedCounts m_counts{ m_peers, m_metrics };
+    SharedCounts m_sharedCounts{ m_peers, m_metrics };
     Admission m_admission;
     SentParts m_sentParts;
     PauseMeter m_pauses;
     Publisher m_publisher;
     QuarantineKeeper m_quarantines;
     net::asio::signal_set m_signals;
-    std::uint64_t m_lastSerial = 0;
+    std::uint64_t m_lastConnectionNumber = 0;
     std::uint64_t m_configVersion = 0;
-    gateway::EngineSpecKey m_wantedSpec = 0; //!< by the newest configuration
-    gateway::EngineSpecKey m_spec = 0;       //!< known
-    MonoTime m_specAsked;
-    std::string m_upstreamId; //!< the engine's present start, as gateways know it
+    gateway::EngineSpecKey m_wantedSpec = 0; //!< specification named by the newest configuration
+    gateway::EngineSpecKey m_knownSpec = 0;  //!< specification that this sidecar has
+    MonoTime m_specRequestedAt;
+    std::string m_upstreamId; //!< the engine's present start, as reported by gateways
     Millis m_gapTarget{ 0 };
     bool m_reachable = false;
 };
