--- a/tests/promise/announcement.tests.cpp
+++ b/tests/promise/announcement.tests.cpp
@@ -1,18 +1,14 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "support/world.hpp"
 
-// An upstream that turns a request away may ask its sender for a back-off: nothing more for so
-// many seconds. No gateway heard it. A refusal counted for half a failure, 75 ms of cost that fades
-// within seconds, and as soon as that was the least of all costs the next request went there:
-//
-//     33.016 event=send_refused upstream=i-312e19 why="status 503"      (it asked for 3 s)
-//     35.580 event=send upstream=i-312e19 send=2 candidates=2 cost_ms=75
-//     35.711 event=send upstream=i-312e19 send=1 candidates=3 cost_ms=74
-//     35.768 event=send upstream=i-312e19 send=1 candidates=3 cost_ms=73
-//
-// The two other upstreams of the service failed requests at the time. Where six engines asked for a
-// back-off at once, one request went to four of them within 7 ms. Likewise upstreams say in their
-// answers that they leave; a gateway knew it from the store alone, and in a cut never.
+// An upstream that rejects a request may ask the sender for a back-off, and an upstream that leaves
+// says so in its answers. Guards against gateways that ignore both:
+// - A rejection counted as half a failure, 75 ms of cost that fades within seconds. As soon as that
+//   cost was the lowest, e.g. because the two other upstreams failed, requests went to the upstream
+//   again within the 3 s that it had asked for. When six engines asked for a back-off at once, one
+//   request went to four of them within 7 ms.
+// - Gateways learned from the store alone that an upstream leaves, thus never while partitioned
+//   from the store.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -21,11 +17,11 @@
 
 namespace {
 
-//! Requests that may cross an upstream's wish; more is too much, whoever sends them.
-constexpr int mostCrossing = 2;
+//! Requests that may be in flight when the upstream asks for the back-off, over all senders.
+constexpr int maxCrossingRequests = 2;
 constexpr Millis backoff{ 2500 };
-//! Behind the bound it still serves what comes for this long, and counts it.
-constexpr Millis servesOn{ 1000 };
+//! For this long after the drain bound the upstream still serves requests and counts them.
+constexpr Millis observedAfterBound{ 1000 };
 
 } // namespace
 
@@ -46,7 +42,7 @@
             co_await world.askPlain();
         }
     } );
-    CHECK( world.record.mostInBackoff() <= mostCrossing );
+    CHECK( world.record.mostInBackoff() <= maxCrossingRequests );
 }
 
 TEST_CASE( "When all engines ask for a back-off a request is refused with when the first ends",
@@ -70,7 +66,7 @@
         }
     } );
     CHECK( refused > 0 );
-    CHECK( world.record.mostInBackoff() <= mostCrossing );
+    CHECK( world.record.mostInBackoff() <= maxCrossingRequests );
 }
 
 TEST_CASE( "A gateway that the store does not reach hears from upstreams that they leave",
@@ -89,7 +85,7 @@
         while( world.record.countOf( saidItLeaves ) == 0 ) {
             co_await world.askPlain();
         }
-        const auto until = MonoClock::now() + drainBound + servesOn;
+        const auto until = MonoClock::now() + drainBound + observedAfterBound;
         while( MonoClock::now() < until ) {
             co_await world.askPlain();
         }
--- a/tests/promise/at_most_once.tests.cpp
+++ b/tests/promise/at_most_once.tests.cpp
@@ -25,7 +25,7 @@
     int incarnation = 1;
 };
 
-//! A run message that may still arrive.
+//! A run message in transit.
 struct InFlight {
     std::size_t request = 0;
     std::uint32_t attempt = 0;
@@ -33,46 +33,47 @@
     int incarnation = 0;
 };
 
-enum class Stage { claim, dispatch, askBar, move, askHolder, told };
-enum class Told { nothing, notRun, unknown, ran };
+enum class Stage { claim, dispatch, requestBar, move, barHolder, outcomeReported };
+enum class ReportedOutcome { none, notRun, unknown, ran };
 
-//! One request of a caller with the shared key, at an entry of its own.
+//! One request of a caller with the shared key; each request has an entry of its own.
 struct Request {
     Stage stage = Stage::claim;
-    Told told = Told::nothing;
+    ReportedOutcome reported = ReportedOutcome::none;
     std::uint32_t attempt = 0;
     std::size_t executor = 0;
     int incarnation = 0;
-    peer::ClaimHolder holder; //!< of somebody else's attempt
-    bool held = false;
+    peer::ClaimHolder holder; //!< the other request's attempt that holds the key
+    bool holdsClaim = false;
     bool retried = false;
 };
 
-//! Several requests under one key, an owner and two executors, with every message lossy.
+//! Simulates several requests racing under one key, with an owner and two executors. Any message
+//! may be lost or arrive late, and the owner and the executors may restart.
 class Race {
 public:
-    void step( std::uint32_t draw ) {
-        m_draw = draw;
+    void step( std::uint32_t randomBits ) {
+        m_randomBits = randomBits;
         m_now += 5;
-        if( take( 60 ) == 0 ) {
-            m_owner = ClaimTable{}; // a restarted owner remembers nothing
-            ownAll();
+        if( drawBelow( 60 ) == 0 ) {
+            m_owner = ClaimTable{}; // a restarted owner has lost its claims
+            takeOwnership();
         }
-        if( take( 60 ) == 0 ) {
-            auto& it = m_executors[take( executorCount )];
+        if( drawBelow( 60 ) == 0 ) {
+            auto& it = m_executors[drawBelow( executorCount )];
             it = Executor{ {}, it.incarnation + 1 };
         }
-        if( !m_inFlight.empty() && take( 4 ) == 0 ) {
+        if( !m_inFlight.empty() && drawBelow( 4 ) == 0 ) {
             deliver( m_inFlight.front() );
             m_inFlight.erase( m_inFlight.begin() );
         }
-        if( !m_lateQuestions.empty() && take( 5 ) == 0 ) {
-            const auto at = m_lateQuestions.begin() + take( 3 ) % m_lateQuestions.size();
+        if( !m_delayedClaims.empty() && drawBelow( 5 ) == 0 ) {
+            const auto at = m_delayedClaims.begin() + drawBelow( 3 ) % m_delayedClaims.size();
             answer( m_owner, *at, ClaimRules{}, m_now );
-            m_lateQuestions.erase( at );
+            m_delayedClaims.erase( at );
         }
-        advance( take( static_cast<std::uint32_t>( m_requests.size() ) ) );
-        judge();
+        advance( drawBelow( static_cast<std::uint32_t>( m_requests.size() ) ) );
+        checkInvariants();
     }
 
     Race() {
@@ -84,17 +85,18 @@
     std::size_t ran() const { return m_runs.size(); }
 
 private:
-    std::uint32_t take( std::uint32_t bound ) {
-        const auto out = m_draw % bound;
-        m_draw /= bound;
+    //! Takes a number below `bound` from the random bits of this step.
+    std::uint32_t drawBelow( std::uint32_t bound ) {
+        const auto out = m_randomBits % bound;
+        m_randomBits /= bound;
         return out;
     }
 
-    //! Loss of a message: 0 the question, 1 the answer, else none.
-    bool lostQuestion() { return ( m_loss = take( 8 ) ) == 0; }
-    bool lostAnswer() const { return m_loss == 1; }
+    //! Draws which message of a call is lost: 0 the request, 1 the answer, any other value none.
+    bool drawRequestLost() { return ( m_loss = drawBelow( 8 ) ) == 0; }
+    bool answerLost() const { return m_loss == 1; }
 
-    void ownAll() { m_owner.ownedSince[slotOf( m_key )] = m_now; }
+    void takeOwnership() { m_owner.ownedSince[slotOf( m_key )] = m_now; }
 
     void run( std::size_t request ) { m_runs.push_back( request ); }
 
@@ -107,72 +109,72 @@
         }
     }
 
-    std::optional<peer::ClaimAnswer> askOwner( std::size_t n, ClaimStep step,
-                                               peer::ClaimOutcome outcome ) {
+    std::optional<peer::ClaimAnswer> callOwner( std::size_t n, ClaimStep step,
+                                                peer::ClaimOutcome outcome ) {
         const auto& it = m_requests[n];
-        peer::ClaimRequest question;
-        question.step = step;
-        question.key = m_key;
-        question.fingerprint = "same";
-        question.holder = { std::to_string( n ), it.attempt, std::to_string( it.executor ),
-                            std::to_string( it.incarnation ) };
-        question.outcome = outcome;
-        if( lostQuestion() ) {
-            m_lateQuestions.push_back( question );
+        peer::ClaimRequest claimRequest;
+        claimRequest.step = step;
+        claimRequest.key = m_key;
+        claimRequest.fingerprint = "same";
+        claimRequest.holder = { std::to_string( n ), it.attempt, std::to_string( it.executor ),
+                                std::to_string( it.incarnation ) };
+        claimRequest.outcome = outcome;
+        if( drawRequestLost() ) {
+            m_delayedClaims.push_back( claimRequest );
             return std::nullopt;
         }
-        const auto out = answer( m_owner, question, ClaimRules{}, m_now );
-        return lostAnswer() ? std::nullopt : std::optional( out );
+        const auto out = answer( m_owner, claimRequest, ClaimRules{}, m_now );
+        return answerLost() ? std::nullopt : std::optional( out );
     }
 
-    AttemptState askBar( std::size_t executor, int incarnation, const std::string& request,
-                         std::uint32_t attempt ) {
+    AttemptState requestBar( std::size_t executor, int incarnation, const std::string& request,
+                             std::uint32_t attempt ) {
         auto& it = m_executors[executor];
-        if( lostQuestion() || it.incarnation != incarnation ) {
+        if( drawRequestLost() || it.incarnation != incarnation ) {
             return AttemptState::unknown;
         }
         const auto out = bar( it.attempts, { request, attempt }, MonoTime{} );
-        return lostAnswer() ? AttemptState::unknown : out;
+        return answerLost() ? AttemptState::unknown : out;
     }
 
-    void tell( std::size_t n, Told what ) {
+    void reportToCaller( std::size_t n, ReportedOutcome reportedOutcome ) {
         auto& it = m_requests[n];
-        if( it.held ) {
-            askOwner( n, ClaimStep::resolve,
-                      what == Told::notRun ? peer::ClaimOutcome::notRun
-                      : what == Told::ran  ? peer::ClaimOutcome::finished
-                                           : peer::ClaimOutcome::unknown );
+        if( it.holdsClaim ) {
+            callOwner( n, ClaimStep::resolve,
+                       reportedOutcome == ReportedOutcome::notRun ? peer::ClaimOutcome::notRun
+                       : reportedOutcome == ReportedOutcome::ran  ? peer::ClaimOutcome::finished
+                                                                  : peer::ClaimOutcome::unknown );
         }
-        it.told = what;
-        it.stage = Stage::told;
+        it.reported = reportedOutcome;
+        it.stage = Stage::outcomeReported;
     }
 
     void pickExecutor( Request& it ) {
         ++it.attempt;
-        it.executor = take( executorCount );
+        it.executor = drawBelow( executorCount );
         it.incarnation = m_executors[it.executor].incarnation;
     }
 
     void onVerdict( std::size_t n, const std::optional<peer::ClaimAnswer>& got ) {
         auto& it = m_requests[n];
         if( !got ) {
-            return tell( n, Told::notRun );
+            return reportToCaller( n, ReportedOutcome::notRun );
         }
         switch( got->verdict ) {
         case ClaimVerdict::granted:
-            it.held = true;
+            it.holdsClaim = true;
             it.stage = Stage::dispatch;
             return;
         case ClaimVerdict::busy:
             it.holder = got->holder;
-            it.stage = Stage::askHolder;
+            it.stage = Stage::barHolder;
             return;
         case ClaimVerdict::finished:
-            return tell( n, Told::ran );
+            return reportToCaller( n, ReportedOutcome::ran );
         case ClaimVerdict::notOwner:
-            return tell( n, Told::notRun );
+            return reportToCaller( n, ReportedOutcome::notRun );
         default:
-            return tell( n, Told::unknown );
+            return reportToCaller( n, ReportedOutcome::unknown );
         }
     }
 
@@ -181,53 +183,55 @@
         switch( it.stage ) {
         case Stage::claim:
             pickExecutor( it );
-            return onVerdict( n, askOwner( n, ClaimStep::claim, {} ) );
+            return onVerdict( n, callOwner( n, ClaimStep::claim, {} ) );
         case Stage::dispatch: {
             m_inFlight.push_back( { n, it.attempt, it.executor, it.incarnation } );
-            if( take( 2 ) == 0 ) { // it arrives at once
+            if( drawBelow( 2 ) == 0 ) { // the message arrives at once
                 deliver( m_inFlight.back() );
                 m_inFlight.pop_back();
-                if( take( 3 ) != 0 && m_executors[it.executor].incarnation == it.incarnation ) {
-                    return tell( n, Told::ran );
+                if( drawBelow( 3 ) != 0 &&
+                    m_executors[it.executor].incarnation == it.incarnation ) {
+                    return reportToCaller( n, ReportedOutcome::ran );
                 }
             }
-            it.stage = Stage::askBar;
+            it.stage = Stage::requestBar;
             return;
         }
-        case Stage::askBar:
-            switch( askBar( it.executor, it.incarnation, std::to_string( n ), it.attempt ) ) {
+        case Stage::requestBar:
+            switch( requestBar( it.executor, it.incarnation, std::to_string( n ), it.attempt ) ) {
             case AttemptState::barred:
                 it.stage = Stage::move;
                 return;
             case AttemptState::unknown:
-                return tell( n, Told::unknown );
+                return reportToCaller( n, ReportedOutcome::unknown );
             default:
-                return tell( n, Told::ran );
+                return reportToCaller( n, ReportedOutcome::ran );
             }
         case Stage::move:
             pickExecutor( it );
-            return onVerdict( n, askOwner( n, ClaimStep::move, {} ) );
-        case Stage::askHolder:
-            switch( askBar( std::stoul( it.holder.executor ), std::stoi( it.holder.incarnation ),
-                            it.holder.requestId, it.holder.attempt ) ) {
+            return onVerdict( n, callOwner( n, ClaimStep::move, {} ) );
+        case Stage::barHolder:
+            switch( requestBar( std::stoul( it.holder.executor ),
+                                std::stoi( it.holder.incarnation ), it.holder.requestId,
+                                it.holder.attempt ) ) {
             case AttemptState::barred: {
                 it.attempt = it.holder.attempt + 1;
-                const auto moved = askOwner( n, ClaimStep::move, {} );
+                const auto moved = callOwner( n, ClaimStep::move, {} );
                 if( moved && moved->verdict == ClaimVerdict::granted ) {
-                    it.held = true;
+                    it.holdsClaim = true;
                     it.stage = Stage::dispatch;
                     return;
                 }
-                return tell( n, Told::unknown );
+                return reportToCaller( n, ReportedOutcome::unknown );
             }
             case AttemptState::unknown:
-                return tell( n, Told::unknown );
+                return reportToCaller( n, ReportedOutcome::unknown );
             default:
-                return tell( n, Told::ran );
+                return reportToCaller( n, ReportedOutcome::ran );
             }
-        case Stage::told:
-            // The caller comes back with the same key, as a new request would.
-            if( it.told != Told::ran && m_requests.size() < 60 && !it.retried ) {
+        case Stage::outcomeReported:
+            // The caller retries with the same key, as a new request.
+            if( it.reported != ReportedOutcome::ran && m_requests.size() < 60 && !it.retried ) {
                 it.retried = true;
                 m_requests.emplace_back();
             }
@@ -235,10 +239,10 @@
         }
     }
 
-    void judge() {
+    void checkInvariants() {
         RC_ASSERT( m_runs.size() <= 1U );
         for( const auto it : m_runs ) {
-            RC_ASSERT( m_requests[it].told != Told::notRun );
+            RC_ASSERT( m_requests[it].reported != ReportedOutcome::notRun );
         }
     }
 
@@ -249,19 +253,19 @@
     std::vector<Executor> m_executors{ executorCount };
     std::vector<Request> m_requests{ requestCount };
     std::vector<InFlight> m_inFlight;
-    std::vector<peer::ClaimRequest> m_lateQuestions;
-    std::vector<std::size_t> m_runs; //!< by request
-    std::uint32_t m_draw = 0;
+    std::vector<peer::ClaimRequest> m_delayedClaims;
+    std::vector<std::size_t> m_runs; //!< index of the request of each run
+    std::uint32_t m_randomBits = 0;
     std::uint32_t m_loss = 0;
 };
 
-//! A store, two service agents behind two entries.
-struct CardDesk {
+//! A store, two entries and two services with an agent each.
+struct ActivationSetup {
     fleet::Fleet fleet;
     fleet::Node* service1 = nullptr;
     fleet::Node* service2 = nullptr;
 
-    CardDesk() {
+    ActivationSetup() {
         service1 = &fleet.service( "s1" );
         service2 = &fleet.service( "s2" );
         fleet.agent( "a1", service1->url, {}, "service" );
@@ -285,7 +289,7 @@
                               { "X-Coursehead-Deadline-Ms", std::to_string( deadlineMs ) } } );
     }
 
-    //! Runs of the key over both services.
+    //! The number of runs of the key, over both services.
     std::uint64_t runs( const std::string& key ) {
         std::uint64_t out = 0;
         for( auto* it : { service1, service2 } ) {
@@ -335,140 +339,140 @@
 
 TEST_CASE( "The same key at two entries at once runs once and both get the answer",
            "[promise][once][process]" ) {
-    CardDesk desk;
-    fleet::Fleet::setFaults( *desk.service1, { { "slow_ms", 150 } } );
-    fleet::Fleet::setFaults( *desk.service2, { { "slow_ms", 150 } } );
+    ActivationSetup setup;
+    fleet::Fleet::setFaults( *setup.service1, { { "slow_ms", 150 } } );
+    fleet::Fleet::setFaults( *setup.service2, { { "slow_ms", 150 } } );
     for( int n = 0; n < 5; ++n ) {
         const auto key = fleet::Fleet::key();
         http::Outcome one;
         {
-            std::jthread other( [&] { one = desk.activate( desk.entry1(), key ); } );
-            const auto two = desk.activate( desk.entry2(), key );
+            std::jthread other( [&] { one = setup.activate( setup.entry1(), key ); } );
+            const auto two = setup.activate( setup.entry2(), key );
             CHECK( two.response.status == 200 );
         }
         CHECK( one.response.status == 200 );
-        CHECK( desk.runs( key ) == 1 );
+        CHECK( setup.runs( key ) == 1 );
     }
 }
 
 TEST_CASE( "A service that dies leaves no second run and no false not-run",
            "[promise][once][process]" ) {
-    CardDesk desk;
+    ActivationSetup setup;
     const std::string fault = GENERATE( "die_before", "die_after" );
-    for( auto* it : { desk.service1, desk.service2 } ) {
+    for( auto* it : { setup.service1, setup.service2 } ) {
         fleet::Fleet::setFaults( *it, { { fault, 1 } } );
     }
     const auto key = fleet::Fleet::key();
-    const auto first = desk.activate( desk.entry1(), key );
+    const auto first = setup.activate( setup.entry1(), key );
     CHECK( outcomeOf( first ) == "unknown" );
     for( int n = 0; n < 3; ++n ) {
-        const auto again = desk.activate( desk.entry2(), key );
+        const auto again = setup.activate( setup.entry2(), key );
         CHECK( outcomeOf( again ) != "not-run" );
     }
-    CHECK( desk.runs( key ) <= 1 );
+    CHECK( setup.runs( key ) <= 1 );
 }
 
 TEST_CASE( "An agent killed with a request at its service leaves it run at most once",
            "[promise][once][process]" ) {
-    CardDesk desk;
-    for( auto* it : { desk.service1, desk.service2 } ) {
+    ActivationSetup setup;
+    for( auto* it : { setup.service1, setup.service2 } ) {
         fleet::Fleet::setFaults( *it, { { "slow_ms", 600 } } );
     }
     const auto key = fleet::Fleet::key();
     http::Outcome first;
     {
-        std::jthread caller( [&] { first = desk.activate( desk.entry1(), key ); } );
-        fleet::waitUntil( "the run", [&] { return desk.runs( key ) == 1; } );
+        std::jthread caller( [&] { first = setup.activate( setup.entry1(), key ); } );
+        fleet::waitUntil( "the run", [&] { return setup.runs( key ) == 1; } );
         for( const char* name : { "a1", "a2" } ) {
-            desk.fleet.node( name ).process->kill();
+            setup.fleet.node( name ).process->kill();
         }
     }
     CHECK( outcomeOf( first ) == "unknown" );
     for( const char* name : { "a1", "a2" } ) {
-        desk.fleet.agent( name, name[1] == '1' ? desk.service1->url : desk.service2->url, {},
-                          "service" );
+        setup.fleet.agent( name, name[1] == '1' ? setup.service1->url : setup.service2->url, {},
+                           "service" );
     }
-    desk.fleet.waitForAgents( desk.entry2(), 2 );
-    desk.fleet.waitForSlots( desk.entry2() );
-    const auto again = desk.activate( desk.entry2(), key );
+    setup.fleet.waitForAgents( setup.entry2(), 2 );
+    setup.fleet.waitForSlots( setup.entry2() );
+    const auto again = setup.activate( setup.entry2(), key );
     CHECK( outcomeOf( again ) == "unknown" );
-    CHECK( desk.runs( key ) == 1 );
-    CHECK( desk.activate( desk.entry2(), fleet::Fleet::key() ).response.status == 200 );
+    CHECK( setup.runs( key ) == 1 );
+    CHECK( setup.activate( setup.entry2(), fleet::Fleet::key() ).response.status == 200 );
 }
 
 TEST_CASE( "An entry killed with a request on its way leaves the answer to another entry",
            "[promise][once][process]" ) {
-    CardDesk desk;
-    for( auto* it : { desk.service1, desk.service2 } ) {
+    ActivationSetup setup;
+    for( auto* it : { setup.service1, setup.service2 } ) {
         fleet::Fleet::setFaults( *it, { { "slow_ms", 500 } } );
     }
     const auto key = fleet::Fleet::key();
     {
-        std::jthread caller( [&] { desk.activate( desk.entry1(), key ); } );
-        fleet::waitUntil( "the run", [&] { return desk.runs( key ) == 1; } );
-        desk.entry1().process->kill();
+        std::jthread caller( [&] { setup.activate( setup.entry1(), key ); } );
+        fleet::waitUntil( "the run", [&] { return setup.runs( key ) == 1; } );
+        setup.entry1().process->kill();
     }
-    const auto again = desk.activate( desk.entry2(), key );
+    const auto again = setup.activate( setup.entry2(), key );
     CHECK( again.response.status == 200 );
     CHECK( outcomeOf( again ) == "ran" );
-    CHECK( desk.runs( key ) == 1 );
+    CHECK( setup.runs( key ) == 1 );
 }
 
 TEST_CASE( "A frozen agent that wakes up does not run a request that went elsewhere",
            "[promise][once][process]" ) {
-    CardDesk desk;
+    ActivationSetup setup;
     for( const char* name : { "a1", "a2" } ) {
-        desk.fleet.node( name ).process->signal( SIGSTOP );
+        setup.fleet.node( name ).process->signal( SIGSTOP );
     }
     const auto key = fleet::Fleet::key();
-    const auto first = desk.activate( desk.entry1(), key, 6000 );
+    const auto first = setup.activate( setup.entry1(), key, 6000 );
     CHECK( first.response.status >= 500 );
     for( const char* name : { "a1", "a2" } ) {
-        desk.fleet.node( name ).process->signal( SIGCONT );
+        setup.fleet.node( name ).process->signal( SIGCONT );
     }
-    desk.fleet.waitForAgents( desk.entry2(), 2 );
+    setup.fleet.waitForAgents( setup.entry2(), 2 );
     const bool saidNotRun = outcomeOf( first ) == "not-run";
-    const auto runsBefore = desk.runs( key );
+    const auto runsBefore = setup.runs( key );
     CHECK( ( !saidNotRun || runsBefore == 0 ) );
     fleet::waitUntil( "an answer", [&] {
-        const auto again = desk.activate( desk.entry2(), key );
+        const auto again = setup.activate( setup.entry2(), key );
         return again.response.status == 200 || outcomeOf( again ) == "unknown";
     } );
-    CHECK( desk.runs( key ) <= 1 );
+    CHECK( setup.runs( key ) <= 1 );
 }
 
 TEST_CASE( "A key whose owner is gone is refused as not run, until the list shows it gone",
            "[promise][once][process]" ) {
-    CardDesk desk;
-    const auto key = desk.keyOwnedBy( "a1" );
-    desk.fleet.node( "a1" ).process->kill();
-    const auto first = desk.activate( desk.entry1(), key );
+    ActivationSetup setup;
+    const auto key = setup.keyOwnedBy( "a1" );
+    setup.fleet.node( "a1" ).process->kill();
+    const auto first = setup.activate( setup.entry1(), key );
     CHECK( outcomeOf( first ) == "not-run" );
     CHECK( first.response.headers.contains( "Retry-After" ) );
-    CHECK( desk.runs( key ) == 0 );
-    desk.fleet.unlistVm( "a1" );
-    fleet::waitUntil( "a new owner", [&] { return desk.ownerOf( key ) == "a2"; } );
+    CHECK( setup.runs( key ) == 0 );
+    setup.fleet.unlistVm( "a1" );
+    fleet::waitUntil( "a new owner", [&] { return setup.ownerOf( key ) == "a2"; } );
     fleet::waitUntil( "the new owner's answer", [&] {
-        return desk.activate( desk.entry1(), fleet::Fleet::key() ).response.status == 200;
+        return setup.activate( setup.entry1(), fleet::Fleet::key() ).response.status == 200;
     } );
-    // Made before the new owner began: it can't know. Until the owner has heard of its slot, the
-    // answer is that the key was not run, which is as true.
-    fleet::waitUntil( "the new owner's word", [&] {
-        const auto outcome = outcomeOf( desk.activate( desk.entry1(), key ) );
+    // The key is older than the new owner's ownership of the slot, so that owner cannot know the
+    // outcome. Until the owner has received its slot the answer is not-run, which is true as well.
+    fleet::waitUntil( "the outcome unknown from the new owner", [&] {
+        const auto outcome = outcomeOf( setup.activate( setup.entry1(), key ) );
         CHECK( outcome != "ran" );
         return outcome == "unknown";
     } );
-    CHECK( desk.runs( key ) == 0 );
+    CHECK( setup.runs( key ) == 0 );
 }
 
 TEST_CASE( "An hour of store outage does not stop activations", "[promise][once][process]" ) {
-    CardDesk desk;
-    fleet::Fleet::setFaults( desk.fleet.store(), { { "outage", true } } );
+    ActivationSetup setup;
+    fleet::Fleet::setFaults( setup.fleet.store(), { { "outage", true } } );
     for( int n = 0; n < 20; ++n ) {
         const auto key = fleet::Fleet::key();
-        const auto got = desk.activate( n % 2 == 0 ? desk.entry1() : desk.entry2(), key );
+        const auto got = setup.activate( n % 2 == 0 ? setup.entry1() : setup.entry2(), key );
         CHECK( got.response.status == 200 );
-        CHECK( desk.runs( key ) == 1 );
+        CHECK( setup.runs( key ) == 1 );
     }
 }
 
--- a/tests/promise/config.tests.cpp
+++ b/tests/promise/config.tests.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-//! Two entries and some agents beside plain services.
-struct Hall {
+//! Two entries and some agents of a plain service.
+struct ConfigSetup {
     Fleet fleet;
 
-    explicit Hall( int agents = 3 ) {
+    explicit ConfigSetup( int agents = 3 ) {
         auto& service = fleet.service( "s" );
         for( int n = 0; n < agents; ++n ) {
             fleet.agent( "a" + std::to_string( n ), service.url, {}, "service" );
@@ -32,7 +32,7 @@
     fleet::Node& e1() { return fleet.node( "e1" ); }
     fleet::Node& e2() { return fleet.node( "e2" ); }
 
-    //! The revision of every process.
+    //! The set of revisions that the processes have.
     std::set<std::uint64_t> revisions() {
         std::set<std::uint64_t> out;
         for( const char* name : { "e1", "e2", "a0", "a1", "a2" } ) {
@@ -43,12 +43,12 @@
         return out;
     }
     void waitForRevision( std::uint64_t revision ) {
-        fleet::waitUntil( "one revision everywhere",
+        fleet::waitUntil( "all processes to have the revision",
                           [&] { return revisions() == std::set<std::uint64_t>{ revision }; } );
     }
 };
 
-std::string create( const std::string& name ) {
+std::string createCommand( const std::string& name ) {
     return "create model " + name + " memory=1GiB";
 }
 
@@ -66,7 +66,7 @@
 TEST_CASE( "A replica never steps back, whatever order heads come in",
            "[promise][config][property]" ) {
     rc::prop( "offers from the store and from peers, reordered and repeated", [] {
-        // A history of heads, with the tail cut now and then.
+        // A history of heads whose tail is cut at every twentieth revision.
         std::vector<config::Head> heads( 1 );
         std::vector<config::State> states( 1 );
         for( int n = 1; n <= 80; ++n ) {
@@ -93,64 +93,65 @@
         config::Revision last = 0;
         const auto order = *rc::gen::container<std::vector<std::size_t>>(
             60, rc::gen::inRange<std::size_t>( 1, heads.size() ) );
-        std::uint64_t older = 0;
+        std::uint64_t olderOffers = 0;
         for( const auto it : order ) {
-            older += heads[it].revision < replica.revision() ? 1 : 0;
+            olderOffers += heads[it].revision < replica.revision() ? 1 : 0;
             replica.offer( heads[it], snapshots );
             RC_ASSERT( replica.revision() >= last );
             last = replica.revision();
             RC_ASSERT( replica.state()->models.size() == last );
             if( it % 3 == 0 ) {
-                if( const auto news = replica.newsFor( peer.revision() ) ) {
-                    peer.offer( *news );
+                if( const auto update = replica.newsFor( peer.revision() ) ) {
+                    peer.offer( *update );
                 }
                 RC_ASSERT( peer.revision() == replica.revision() );
                 RC_ASSERT( config::toText( *peer.state() ) == config::toText( *replica.state() ) );
             }
         }
-        RC_ASSERT( replica.stats().olderDropped == older );
+        RC_ASSERT( replica.stats().olderDropped == olderOffers );
     } );
 }
 
 TEST_CASE( "Racing operators: every accepted change stays, none is lost or doubled",
            "[promise][config][process]" ) {
-    Hall hall;
+    ConfigSetup setup;
     std::mutex mutex;
     std::set<std::string> accepted;
-    std::set<std::uint64_t> made;
+    std::set<std::uint64_t> committedRevisions;
     std::vector<std::jthread> operators;
     for( int n = 0; n < 6; ++n ) {
         operators.emplace_back( [&, n] {
-            const auto& entry = n % 2 == 0 ? hall.e1() : hall.e2();
+            const auto& entry = n % 2 == 0 ? setup.e1() : setup.e2();
             for( int k = 0; k < 5; ++k ) {
                 const auto name = "m" + std::to_string( n ) + "-" + std::to_string( k );
-                const auto done = Fleet::command( entry, create( name ) );
+                const auto done = Fleet::command( entry, createCommand( name ) );
                 const std::lock_guard lock( mutex );
                 if( done["status"] == "ok" ) {
                     accepted.insert( name );
-                    CHECK( made.insert( done["revision"].get<std::uint64_t>() ).second );
+                    CHECK(
+                        committedRevisions.insert( done["revision"].get<std::uint64_t>() ).second );
                 }
             }
         } );
     }
     operators.clear();
     CHECK( accepted.size() >= 20 );
-    hall.waitForRevision( *made.rbegin() );
-    CHECK( modelNames( hall.e1() ) == accepted );
-    CHECK( modelNames( hall.e2() ) == accepted );
+    setup.waitForRevision( *committedRevisions.rbegin() );
+    CHECK( modelNames( setup.e1() ) == accepted );
+    CHECK( modelNames( setup.e2() ) == accepted );
 }
 
 TEST_CASE( "Two operators changing the same object: one is told of the conflict",
            "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m" ) );
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m" ) );
     int conflicts = 0;
     for( int n = 0; n < 20 && conflicts == 0; ++n ) {
         fleet::Json one;
         {
             std::jthread other(
-                [&] { one = Fleet::command( hall.e1(), "set model m replicas=3" ); } );
-            const auto two = Fleet::command( hall.e2(), "set model m replicas=4" );
+                [&] { one = Fleet::command( setup.e1(), "set model m replicas=3" ); } );
+            const auto two = Fleet::command( setup.e2(), "set model m replicas=4" );
             conflicts += two["status"] == "conflict" ? 1 : 0;
         }
         conflicts += one["status"] == "conflict" ? 1 : 0;
@@ -160,95 +161,96 @@
 
 TEST_CASE( "A write whose answer is lost is settled: accepted once",
            "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m0" ) );
-    const auto before = *hall.revisions().rbegin();
-    Fleet::setFaults( hall.fleet.store(), { { "lose_write_answers", 1 } } );
-    const auto done = Fleet::command( hall.e1(), create( "m1" ) );
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m0" ) );
+    const auto before = *setup.revisions().rbegin();
+    Fleet::setFaults( setup.fleet.store(), { { "lose_write_answers", 1 } } );
+    const auto done = Fleet::command( setup.e1(), createCommand( "m1" ) );
     CHECK( done["status"] == "ok" );
     CHECK( done["revision"] == before + 1 );
-    hall.waitForRevision( before + 1 );
+    setup.waitForRevision( before + 1 );
 }
 
 TEST_CASE( "A stale read neither loses nor reverts a change", "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m0" ) );
-    Fleet::require( hall.e1(), create( "m1" ) );
-    Fleet::setFaults( hall.fleet.store(), { { "stale_reads", 1 } } );
-    const auto done = Fleet::command( hall.e2(), create( "m2" ) );
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m0" ) );
+    Fleet::require( setup.e1(), createCommand( "m1" ) );
+    Fleet::setFaults( setup.fleet.store(), { { "stale_reads", 1 } } );
+    const auto done = Fleet::command( setup.e2(), createCommand( "m2" ) );
     CHECK( done["status"] == "ok" );
-    hall.waitForRevision( done["revision"].get<std::uint64_t>() );
-    CHECK( modelNames( hall.e1() ) == std::set<std::string>{ "m0", "m1", "m2" } );
+    setup.waitForRevision( done["revision"].get<std::uint64_t>() );
+    CHECK( modelNames( setup.e1() ) == std::set<std::string>{ "m0", "m1", "m2" } );
 }
 
 TEST_CASE( "A change committed just before the store goes down spreads from peer to peer",
            "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m0" ) );
-    Fleet::setFaults( hall.fleet.store(), { { "hold_watches", true } } );
-    const auto done = Fleet::command( hall.e1(), create( "m1" ) );
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m0" ) );
+    Fleet::setFaults( setup.fleet.store(), { { "hold_watches", true } } );
+    const auto done = Fleet::command( setup.e1(), createCommand( "m1" ) );
     REQUIRE( done["status"] == "ok" );
-    Fleet::setFaults( hall.fleet.store(), { { "hold_watches", true }, { "outage", true } } );
-    hall.waitForRevision( done["revision"].get<std::uint64_t>() );
-    CHECK( modelNames( hall.e2() ) == std::set<std::string>{ "m0", "m1" } );
-    const auto refused = Fleet::command( hall.e1(), create( "m2" ) );
+    Fleet::setFaults( setup.fleet.store(), { { "hold_watches", true }, { "outage", true } } );
+    setup.waitForRevision( done["revision"].get<std::uint64_t>() );
+    CHECK( modelNames( setup.e2() ) == std::set<std::string>{ "m0", "m1" } );
+    const auto refused = Fleet::command( setup.e1(), createCommand( "m2" ) );
     CHECK( refused["status"] == "unavailable" );
 }
 
 TEST_CASE( "An entry paused through ten changes catches up and never shows an older one",
            "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m" ) );
-    hall.e2().process->signal( SIGSTOP );
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m" ) );
+    setup.e2().process->signal( SIGSTOP );
     std::uint64_t last = 0;
     for( int n = 0; n < 10; ++n ) {
         const auto done =
-            Fleet::command( hall.e1(), "set model m replicas=" + std::to_string( n + 2 ) );
+            Fleet::command( setup.e1(), "set model m replicas=" + std::to_string( n + 2 ) );
         REQUIRE( done["status"] == "ok" );
         last = done["revision"];
     }
-    hall.e2().process->signal( SIGCONT );
-    hall.waitForRevision( last );
-    const auto shown = Fleet::command( hall.e2(), "show models where replicas = 11" );
+    setup.e2().process->signal( SIGCONT );
+    setup.waitForRevision( last );
+    const auto shown = Fleet::command( setup.e2(), "show models where replicas = 11" );
     CHECK( shown["tables"][0]["rows"].size() == 1 );
 }
 
 TEST_CASE( "A change set is in force whole or not at all, and says what is wrong",
            "[promise][config][process]" ) {
-    Hall hall;
-    const auto done = Fleet::command( hall.e1(), "begin\n" + create( "good" ) +
-                                                     "\ncreate model bad memory=lots\ncommit" );
+    ConfigSetup setup;
+    const auto done = Fleet::command( setup.e1(), "begin\n" + createCommand( "good" ) +
+                                                      "\ncreate model bad memory=lots\ncommit" );
     CHECK( done["status"] == "rejected" );
     CHECK( done["message"].get<std::string>().find( "field 'memory' = 'lots'" ) !=
            std::string::npos );
-    CHECK( modelNames( hall.e1() ).empty() );
-    CHECK( Fleet::command( hall.e1(), "begin\n" + create( "open" ) )["status"] == "rejected" );
+    CHECK( modelNames( setup.e1() ).empty() );
+    CHECK( Fleet::command( setup.e1(), "begin\n" + createCommand( "open" ) )["status"] ==
+           "rejected" );
 }
 
 TEST_CASE( "A process that starts after many changes reads the snapshot and the tail",
            "[promise][config][process]" ) {
-    Hall hall;
+    ConfigSetup setup;
     std::string text;
     for( int n = 0; n < 90; ++n ) {
-        text += create( "m" + std::to_string( n ) ) + "\n";
+        text += createCommand( "m" + std::to_string( n ) ) + "\n";
     }
-    Fleet::require( hall.e1(), text );
-    hall.fleet.entry( "e3", { "--plan", "false" } );
+    Fleet::require( setup.e1(), text );
+    setup.fleet.entry( "e3", { "--plan", "false" } );
     fleet::waitUntil( "the new entry",
-                      [&] { return modelNames( hall.fleet.node( "e3" ) ).size() == 90; } );
+                      [&] { return modelNames( setup.fleet.node( "e3" ) ).size() == 90; } );
 }
 
 TEST_CASE( "A steady stream of changes does not hold up their spread from peer to peer",
            "[promise][config][process]" ) {
-    Hall hall;
-    Fleet::require( hall.e1(), create( "m" ) );
-    Fleet::setFaults( hall.fleet.store(), { { "hold_watches", true } } );
-    const auto before = *hall.revisions().rbegin();
+    ConfigSetup setup;
+    Fleet::require( setup.e1(), createCommand( "m" ) );
+    Fleet::setFaults( setup.fleet.store(), { { "hold_watches", true } } );
+    const auto before = *setup.revisions().rbegin();
     bool spread = false;
     for( int n = 0; n < 60 && !spread; ++n ) {
-        Fleet::command( hall.e1(), "set model m replicas=" + std::to_string( n + 2 ) );
+        Fleet::command( setup.e1(), "set model m replicas=" + std::to_string( n + 2 ) );
         std::this_thread::sleep_for( Millis( 200 ) );
-        spread = *hall.revisions().begin() > before;
+        spread = *setup.revisions().begin() > before;
     }
     CHECK( spread );
 }
--- a/tests/promise/halls.tests.cpp
+++ b/tests/promise/halls.tests.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "support/world.hpp"
 
-// Halls that are emptied, and regions that requests may not leave: whom the store's word reaches
-// must not send there, whether it heard of it as it happened, from a list at its start, or from a
-// configuration.
+// Evacuated halls and home regions of requests. Guards against gateways that send requests to an
+// evacuated hall or out of their home regions, whether the gateway learns of these from a change as
+// it happens, from a list at its start or from a configuration.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -12,11 +12,11 @@
 
 namespace {
 
-constexpr int asks = 12;
-//! Behind a bound: what was sent within it has arrived.
-constexpr Millis arrival{ 200 };
+constexpr int requestCount = 12;
+//! Added to a bound, so that requests sent within the bound have arrived.
+constexpr Millis arrivalMargin{ 200 };
 
-net::Task<> askUntil( World& world, std::function<bool()> condition ) {
+net::Task<> streamUntil( World& world, std::function<bool()> condition ) {
     while( !condition() ) {
         co_await world.askStreams( 1 );
     }
@@ -28,28 +28,28 @@
            "[promise][halls]" ) {
     World world;
     world.samePrompts = false;
-    int servedEmptied = 0;
-    int sentEmptied = 0;
-    int sentByNew = 0;
+    int servedWhileEmptied = 0;
+    int sentToEmptied = 0;
+    int sentAfterRestart = 0;
     world.play( [&]() -> net::Task<> {
         auto& record = world.record;
         auto& store = world.deployment->store();
-        co_await askUntil( world, [&] { return record.runsIn( "hall-0" ) > 2; } );
+        co_await streamUntil( world, [&] { return record.runsIn( "hall-0" ) > 2; } );
         store.put( "evacuations", "hall-0", nlohmann::json::object() );
-        co_await net::pause( world.context, evacuationBound + arrival );
+        co_await net::pause( world.context, evacuationBound + arrivalMargin );
         const int before = record.runsIn( "hall-0" );
-        servedEmptied = co_await world.askStreams( asks );
-        sentEmptied = record.runsIn( "hall-0" ) - before;
+        servedWhileEmptied = co_await world.askStreams( requestCount );
+        sentToEmptied = record.runsIn( "hall-0" ) - before;
         world.restartAll();
         co_await world.waitUntilSettled();
-        co_await world.askStreams( asks );
-        sentByNew = record.runsIn( "hall-0" ) - before - sentEmptied;
+        co_await world.askStreams( requestCount );
+        sentAfterRestart = record.runsIn( "hall-0" ) - before - sentToEmptied;
         store.remove( "evacuations", "hall-0" );
-        co_await askUntil( world, [&] { return record.runsIn( "hall-0" ) > before + 1; } );
+        co_await streamUntil( world, [&] { return record.runsIn( "hall-0" ) > before + 1; } );
     } );
-    CHECK( sentEmptied == 0 );
-    CHECK( servedEmptied == asks );
-    CHECK( sentByNew == 0 );
+    CHECK( sentToEmptied == 0 );
+    CHECK( servedWhileEmptied == requestCount );
+    CHECK( sentAfterRestart == 0 );
 }
 
 TEST_CASE( "An emptied hall that nobody knows changes nothing", "[promise][halls]" ) {
@@ -59,9 +59,9 @@
         world.deployment->store().put( "evacuations", "nowhere", 5 );
         world.deployment->store().put( "evacuations", "", nullptr );
         co_await net::pause( world.context, evacuationBound );
-        served = co_await world.askStreams( asks );
+        served = co_await world.askStreams( requestCount );
     } );
-    CHECK( served == asks );
+    CHECK( served == requestCount );
 }
 
 TEST_CASE( "Requests with home regions are served there only, and refused where there is none",
@@ -69,29 +69,30 @@
     World world;
     world.samePrompts = false;
     int served = 0;
-    int elsewhere = 0;
-    unsigned homeless = 0;
-    int run = 0;
+    int sentOutsideHome = 0;
+    unsigned statusWithoutHome = 0;
+    int runsWithoutHome = 0;
     world.play( [&]() -> net::Task<> {
         auto& record = world.record;
         world.deployment->setHomes( { "region-1" } );
         world.deployment->changeConfiguration();
-        co_await net::pause( world.context, configurationBound + arrival );
+        co_await net::pause( world.context, configurationBound + arrivalMargin );
         const int before = record.runsIn( "hall-0" );
-        served = co_await world.askStreams( asks );
-        elsewhere = record.runsIn( "hall-0" ) - before;
+        served = co_await world.askStreams( requestCount );
+        sentOutsideHome = record.runsIn( "hall-0" ) - before;
         world.deployment->setHomes( { "region-9" } );
         world.deployment->changeConfiguration();
-        co_await net::pause( world.context, configurationBound + arrival );
-        const int all = record.runsIn( "hall-0" ) + record.runsIn( "hall-1" );
+        co_await net::pause( world.context, configurationBound + arrivalMargin );
+        const int runsBefore = record.runsIn( "hall-0" ) + record.runsIn( "hall-1" );
         std::string method = "POST";
         std::string path = "/stream/a";
         std::string body = "last";
-        homeless = co_await world.ask( std::move( method ), std::move( path ), std::move( body ) );
-        run = record.runsIn( "hall-0" ) + record.runsIn( "hall-1" ) - all;
+        statusWithoutHome =
+            co_await world.ask( std::move( method ), std::move( path ), std::move( body ) );
+        runsWithoutHome = record.runsIn( "hall-0" ) + record.runsIn( "hall-1" ) - runsBefore;
     } );
-    CHECK( served == asks );
-    CHECK( elsewhere == 0 );
-    CHECK( homeless == 503 );
-    CHECK( run == 0 );
+    CHECK( served == requestCount );
+    CHECK( sentOutsideHome == 0 );
+    CHECK( statusWithoutHome == 503 );
+    CHECK( runsWithoutHome == 0 );
 }
--- a/tests/promise/hostile.tests.cpp
+++ b/tests/promise/hostile.tests.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 //! A plain TCP connection.
-class Raw {
+class TcpConnection {
 public:
-    explicit Raw( int port ) : m_fd( ::socket( AF_INET, SOCK_STREAM, 0 ) ) {
+    explicit TcpConnection( int port ) : m_fd( ::socket( AF_INET, SOCK_STREAM, 0 ) ) {
         sockaddr_in address{};
         address.sin_family = AF_INET;
         address.sin_port = htons( static_cast<std::uint16_t>( port ) );
@@ -25,15 +25,15 @@
         REQUIRE( ::connect( m_fd, reinterpret_cast<sockaddr*>( &address ), sizeof( address ) ) ==
                  0 );
     }
-    ~Raw() { ::close( m_fd ); }
-    Raw( const Raw& ) = delete;
-    Raw& operator=( const Raw& ) = delete;
+    ~TcpConnection() { ::close( m_fd ); }
+    TcpConnection( const TcpConnection& ) = delete;
+    TcpConnection& operator=( const TcpConnection& ) = delete;
 
     void send( std::string_view bytes ) const {
         ::send( m_fd, bytes.data(), bytes.size(), MSG_NOSIGNAL );
     }
-    //! Waits until the far side closes.
-    bool closed() const {
+    //! Waits until the other side closes the connection.
+    bool waitForClose() const {
         char buf[4096];
         for( ;; ) {
             const auto n = ::recv( m_fd, buf, sizeof( buf ), 0 );
@@ -47,9 +47,9 @@
     int m_fd;
 };
 
-struct Desk {
+struct HostileSetup {
     Fleet fleet;
-    Desk() {
+    HostileSetup() {
         auto& engine = fleet.engine( "e" );
         fleet.agent( "a", engine.url );
         fleet.entry( "entry", { "--max-body-bytes", "2000" } );
@@ -70,14 +70,14 @@
 
 TEST_CASE( "Bad requests get the right status, a reason, and what became of them",
            "[promise][hostile][process]" ) {
-    Desk desk;
+    HostileSetup setup;
     struct Row {
         std::string method;
         std::string path;
         std::string body;
         http::Headers headers;
         int status;
-        std::string word;
+        std::string messagePart;
     };
     const std::string chat = "/v1/chat/completions";
     const std::vector<Row> rows{
@@ -95,59 +95,60 @@
         { "GET", "/v1/sessions/nothing", "", {}, 400, "Last-Event-ID" },
     };
     for( const auto& it : rows ) {
-        const auto got = fleet::call( desk.entry().url, it.method, it.path, it.body, it.headers );
+        const auto got = fleet::call( setup.entry().url, it.method, it.path, it.body, it.headers );
         INFO( it.path << " " << it.body.substr( 0, 60 ) << " -> " << got.response.body );
         CHECK( got.response.status == it.status );
         const auto body = fleet::Json::parse( got.response.body, nullptr, false );
         REQUIRE( body.is_object() );
         CHECK( body["error"]["outcome"] == "not-run" );
         CHECK_FALSE( body["error"]["code"].get<std::string>().empty() );
-        CHECK( body["error"]["message"].get<std::string>().find( it.word ) != std::string::npos );
+        CHECK( body["error"]["message"].get<std::string>().find( it.messagePart ) !=
+               std::string::npos );
     }
-    desk.checkServes();
+    setup.checkServes();
 }
 
 TEST_CASE( "Oversize headers and senders that stall do not hold up anybody else",
            "[promise][hostile][process]" ) {
-    Desk desk;
-    std::vector<std::unique_ptr<Raw>> stalled;
+    HostileSetup setup;
+    std::vector<std::unique_ptr<TcpConnection>> stalled;
     for( int n = 0; n < 20; ++n ) {
-        stalled.push_back( std::make_unique<Raw>( desk.entry().port ) );
+        stalled.push_back( std::make_unique<TcpConnection>( setup.entry().port ) );
         stalled.back()->send(
             "POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 100\r\n\r\n{" );
     }
-    const Raw oversize( desk.entry().port );
+    const TcpConnection oversize( setup.entry().port );
     oversize.send( "GET /" + std::string( 20000, 'a' ) + " HTTP/1.1\r\n\r\n" );
-    CHECK( oversize.closed() );
-    desk.checkServes();
+    CHECK( oversize.waitForClose() );
+    setup.checkServes();
 }
 
 TEST_CASE( "Garbage at the agent's port is dropped and counted, and the agent goes on",
            "[promise][hostile][process]" ) {
-    Desk desk;
+    HostileSetup setup;
     {
-        const Raw garbage( desk.agent().port );
+        const TcpConnection garbage( setup.agent().port );
         garbage.send( "GET / HTTP/1.1\r\nHost: x\r\n\r\n" );
-        CHECK( garbage.closed() );
-        const Raw frames( desk.agent().port );
+        CHECK( garbage.waitForClose() );
+        const TcpConnection frames( setup.agent().port );
         frames.send( "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" );
         frames.send( std::string( 9000, '\xff' ) );
-        CHECK( frames.closed() );
+        CHECK( frames.waitForClose() );
     }
     fleet::waitUntil( "both counted", [&] {
-        return Fleet::metric( desk.agent().httpUrl, "coursehead_peer_protocol_errors" ) >= 2;
+        return Fleet::metric( setup.agent().httpUrl, "coursehead_peer_protocol_errors" ) >= 2;
     } );
-    desk.checkServes();
+    setup.checkServes();
 }
 
 TEST_CASE( "Whoever is no entry gets nothing from an agent's port",
            "[promise][hostile][process]" ) {
-    Desk desk;
+    HostileSetup setup;
     peer::LoopSettings settings;
     settings.token = GENERATE( "x", "wrong-token", "test-tokem" );
     peer::Loop loop( settings, []( const auto&, const auto& ) {} );
     loop.start();
-    const auto link = loop.connect( "127.0.0.1", desk.agent().port );
+    const auto link = loop.connect( "127.0.0.1", setup.agent().port );
     fleet::waitUntil( "the connection", [&] { return loop.isUp( link ); } );
     const auto stream = loop.open( link, peer::runPath );
     REQUIRE( stream );
@@ -157,19 +158,19 @@
     CHECK( got.status != peer::ReceiveStatus::frame );
     CHECK( got.status != peer::ReceiveStatus::timeout );
     fleet::waitUntil( "the count", [&] {
-        return Fleet::metric( desk.agent().httpUrl, "coursehead_peer_unauthorized" ) >= 1;
+        return Fleet::metric( setup.agent().httpUrl, "coursehead_peer_unauthorized" ) >= 1;
     } );
-    desk.checkServes();
+    setup.checkServes();
 }
 
 TEST_CASE( "Malformed messages from a peer with the token harm nobody",
            "[promise][hostile][process]" ) {
-    Desk desk;
+    HostileSetup setup;
     peer::LoopSettings settings;
     settings.token = "test-token";
     peer::Loop loop( settings, []( const auto&, const auto& ) {} );
     loop.start();
-    const auto link = loop.connect( "127.0.0.1", desk.agent().port );
+    const auto link = loop.connect( "127.0.0.1", setup.agent().port );
     fleet::waitUntil( "the connection", [&] { return loop.isUp( link ); } );
     const auto limit = MonoClock::now() + std::chrono::seconds( 10 );
     for( const char* path : { peer::runPath, peer::joinPath, peer::barPath, peer::claimPath,
@@ -181,5 +182,5 @@
         INFO( path );
         CHECK( stream->receive( limit ).status != peer::ReceiveStatus::timeout );
     }
-    desk.checkServes();
+    setup.checkServes();
 }
--- a/tests/promise/leaving.tests.cpp
+++ b/tests/promise/leaving.tests.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-//! Two services and an entry; requests go to both.
-struct Tills {
+//! An entry and two services with an agent each; the entry sends requests to both.
+struct ServiceSetup {
     Fleet fleet;
 
-    Tills() {
+    ServiceSetup() {
         for( const char* n : { "1", "2" } ) {
             auto& service = fleet.service( std::string( "s" ) + n );
             fleet.agent( std::string( "a" ) + n, service.url, {}, "service" );
@@ -26,7 +26,7 @@
     }
     fleet::Node& entry() { return fleet.node( "entry" ); }
 
-    void ask( int count ) {
+    void sendRequests( int count ) {
         for( int n = 0; n < count; ++n ) {
             const auto got = fleet::call( entry().url, "GET", "/services/balance/1" );
             CHECK( got.response.status == 200 );
@@ -37,14 +37,14 @@
     }
 };
 
-//! A runner with a long answer in progress.
-struct LongAnswer {
+//! An entry and two runners, one of them with a long answer in progress.
+struct LongAnswerSetup {
     Fleet fleet;
     fleet::Streamed answer;
-    std::atomic<bool> begun{ false };
+    std::atomic<bool> started{ false };
     std::jthread caller;
 
-    LongAnswer() {
+    LongAnswerSetup() {
         for( const char* n : { "1", "2" } ) {
             auto& engine = fleet.engine( std::string( "e" ) + n, { "--token-ms=10" } );
             fleet.agent( std::string( "a" ) + n, engine.url );
@@ -56,16 +56,16 @@
         caller = std::jthread( [this] {
             answer = fleet::streamCall( entry().url, fleet::chatBody( "m", "long", 150 ), {},
                                         [this]( const auto& soFar ) {
-                                            begun = begun || soFar.text.size() > 50;
+                                            started = started || soFar.text.size() > 50;
                                             return true;
                                         } );
         } );
-        fleet::waitUntil( "text", [this] { return begun.load(); } );
+        fleet::waitUntil( "text", [this] { return started.load(); } );
     }
     fleet::Node& entry() { return fleet.node( "entry" ); }
 
-    //! The agent that serves the answer.
-    std::string server() {
+    //! The agent that serves the answer, or an empty string.
+    std::string servingAgent() {
         for( const char* n : { "1", "2" } ) {
             const auto status = Fleet::get( fleet.node( std::string( "e" ) + n ).url, "/status" );
             if( status["running"] == 1 ) {
@@ -74,7 +74,7 @@
         }
         return "";
     }
-    void checkWhole() {
+    void checkComplete() {
         caller.join();
         CHECK( answer.done );
         CHECK( answer.text == fleet::expectedText( "m", "long", 150 ) );
@@ -85,84 +85,84 @@
 
 TEST_CASE( "A leaving VM gets no new work, with the list lagging 30 s and the entry's view stale",
            "[promise][leaving][process]" ) {
-    Tills tills;
-    tills.ask( 10 );
-    REQUIRE( tills.runs( "s1" ) > 0 );
-    Fleet::setFaults( tills.fleet.store(), { { "list_lag_ms", 30000 } } );
-    const auto port = tills.fleet.node( "a1" ).port;
-    tills.fleet.listVm( "a1", "service", port, "leaving" );
+    ServiceSetup setup;
+    setup.sendRequests( 10 );
+    REQUIRE( setup.runs( "s1" ) > 0 );
+    Fleet::setFaults( setup.fleet.store(), { { "list_lag_ms", 30000 } } );
+    const auto port = setup.fleet.node( "a1" ).port;
+    setup.fleet.listVm( "a1", "service", port, "leaving" );
     fleet::waitUntil(
-        "the agent's own word",
+        "the agent to start its drain",
         [&] {
-            return tills.fleet.node( "a1" ).process->output().find( "event=drain_begins" ) !=
+            return setup.fleet.node( "a1" ).process->output().find( "event=drain_begins" ) !=
                    std::string::npos;
         },
         3 );
-    // The agent itself refuses from here on, whatever the entry believes.
-    const auto before = tills.runs( "s1" );
-    tills.ask( 30 );
-    CHECK( tills.runs( "s1" ) == before );
-    CHECK( tills.runs( "s2" ) >= 30 );
+    // The agent refuses requests from here on, even when the entry's view is stale.
+    const auto before = setup.runs( "s1" );
+    setup.sendRequests( 30 );
+    CHECK( setup.runs( "s1" ) == before );
+    CHECK( setup.runs( "s2" ) >= 30 );
 }
 
 TEST_CASE( "A planned stop of an agent cuts no answer in progress",
            "[promise][leaving][process]" ) {
-    LongAnswer desk;
-    const auto vm = desk.server();
+    LongAnswerSetup setup;
+    const auto vm = setup.servingAgent();
     REQUIRE_FALSE( vm.empty() );
-    desk.fleet.node( vm ).process->signal( SIGTERM );
+    setup.fleet.node( vm ).process->signal( SIGTERM );
     fleet::waitUntil( "the drain", [&] {
-        return desk.fleet.node( vm ).process->output().find( "event=drain_begins" ) !=
+        return setup.fleet.node( vm ).process->output().find( "event=drain_begins" ) !=
                std::string::npos;
     } );
-    // New work goes to the other one meanwhile.
+    // New requests go to the other agent meanwhile.
     fleet::waitUntil( "another answer", [&] {
-        return fleet::streamCall( desk.entry().url, fleet::chatBody( "m", "new", 4 ) ).done;
+        return fleet::streamCall( setup.entry().url, fleet::chatBody( "m", "new", 4 ) ).done;
     } );
-    desk.checkWhole();
-    CHECK( desk.fleet.node( vm ).process->wait( 20 ) == 0 );
-    // It ended here, not by going on elsewhere.
-    CHECK( desk.fleet.node( vm ).process->output().find( "event=drain_ends left=0" ) !=
+    setup.checkComplete();
+    CHECK( setup.fleet.node( vm ).process->wait( 20 ) == 0 );
+    // The answer was completed by this agent and not continued by the other.
+    CHECK( setup.fleet.node( vm ).process->output().find( "event=drain_ends left=0" ) !=
            std::string::npos );
-    CHECK( Fleet::get( desk.fleet.node( "e" + vm.substr( 1 ) ).url, "/status" )["generations"] ==
+    CHECK( Fleet::get( setup.fleet.node( "e" + vm.substr( 1 ) ).url, "/status" )["generations"] ==
            1 );
 }
 
 TEST_CASE( "A planned stop of an entry cuts no answer in progress",
            "[promise][leaving][process]" ) {
-    LongAnswer desk;
-    desk.entry().process->signal( SIGTERM );
+    LongAnswerSetup setup;
+    setup.entry().process->signal( SIGTERM );
     fleet::waitUntil( "refusals", [&] {
-        const auto got = fleet::streamCall( desk.entry().url, fleet::chatBody( "m", "x", 4 ) );
+        const auto got = fleet::streamCall( setup.entry().url, fleet::chatBody( "m", "x", 4 ) );
         return got.status == 503 && got.error["code"] == "draining" &&
                got.error["outcome"] == "not-run" && got.error["retry_after_ms"] > 0;
     } );
-    CHECK( fleet::call( desk.entry().url, "GET", "/readyz" ).response.status == 503 );
-    desk.checkWhole();
-    CHECK( desk.entry().process->wait( 20 ) == 0 );
+    CHECK( fleet::call( setup.entry().url, "GET", "/readyz" ).response.status == 503 );
+    setup.checkComplete();
+    CHECK( setup.entry().process->wait( 20 ) == 0 );
 }
 
 TEST_CASE( "An upstream VM that is leaving keeps its long answer to the end",
            "[promise][leaving][process]" ) {
-    LongAnswer desk;
-    const auto vm = desk.server();
-    desk.fleet.listVm( vm, "runner", desk.fleet.node( vm ).port, "leaving" );
+    LongAnswerSetup setup;
+    const auto vm = setup.servingAgent();
+    setup.fleet.listVm( vm, "runner", setup.fleet.node( vm ).port, "leaving" );
     fleet::waitUntil( "the drain", [&] {
-        return desk.fleet.node( vm ).process->output().find( "event=drain_begins" ) !=
+        return setup.fleet.node( vm ).process->output().find( "event=drain_begins" ) !=
                std::string::npos;
     } );
-    desk.checkWhole();
+    setup.checkComplete();
 }
 
 TEST_CASE( "A leaving agent refuses an entry that has not heard of it",
            "[promise][leaving][process]" ) {
     using namespace coursehead;
-    Tills tills;
-    const auto& agent = tills.fleet.node( "a1" );
+    ServiceSetup setup;
+    const auto& agent = setup.fleet.node( "a1" );
     const auto log = agent.process->output();
     const std::string mark = "incarnation=";
     const auto incarnation = log.substr( log.find( mark ) + mark.size(), 16 );
-    // An entry of our own, whose view of the agent is as old as can be.
+    // The test acts as an entry that has not learned that the agent is leaving.
     peer::LoopSettings settings;
     settings.token = "test-token";
     peer::Loop loop( settings, []( const auto&, const auto& ) {} );
@@ -170,7 +170,7 @@
     const auto link = loop.connect( "127.0.0.1", agent.port );
     fleet::waitUntil( "the connection", [&] { return loop.isUp( link ); } );
     const auto limit = MonoClock::now() + std::chrono::seconds( 10 );
-    const auto ask = [&]( const std::string& id ) {
+    const auto sendRun = [&]( const std::string& id ) {
         peer::RunRequest request;
         request.requestId = id;
         request.attempt = 1;
@@ -186,15 +186,15 @@
         stream->finish();
         return peer::decode( stream->receive( limit ).frame ).message;
     };
-    CHECK( std::holds_alternative<peer::RunAccepted>( ask( "before" ) ) );
-    tills.fleet.listVm( "a1", "service", agent.port, "leaving" );
+    CHECK( std::holds_alternative<peer::RunAccepted>( sendRun( "before" ) ) );
+    setup.fleet.listVm( "a1", "service", agent.port, "leaving" );
     fleet::waitUntil( "the drain", [&] {
         return agent.process->output().find( "event=drain_begins" ) != std::string::npos;
     } );
-    fleet::waitUntil( "the first one's run", [&] { return tills.runs( "s1" ) >= 1; } );
-    const auto runs = tills.runs( "s1" );
-    const auto answer = ask( "after" );
+    fleet::waitUntil( "the run of the first request", [&] { return setup.runs( "s1" ) >= 1; } );
+    const auto runs = setup.runs( "s1" );
+    const auto answer = sendRun( "after" );
     REQUIRE( std::holds_alternative<peer::RunRefused>( answer ) );
     CHECK( std::get<peer::RunRefused>( answer ).reason == "draining" );
-    CHECK( tills.runs( "s1" ) == runs );
+    CHECK( setup.runs( "s1" ) == runs );
 }
--- a/tests/promise/limit.tests.cpp
+++ b/tests/promise/limit.tests.cpp
@@ -1,17 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "support/world.hpp"
 
-// An upstream in need names in its answers how many requests a second it takes from all gateways
-// together. Engines that had named 1.4 and 1.1 a second got 14 and 12 within four seconds from
-// gateways that they had told, each of which had sent 4 at the most:
-//
-//     8.612 front-petone-2 event=send upstream=i-a4f603 send=1 cost_ms=70     (limit named
-//     at 8.000) 9.548 front-thorndon-1 event=send upstream=i-a4f603 send=1 cost_ms=8 10.376
-//     front-thorndon-2 event=send upstream=i-a4f603 send=1 cost_ms=42 10.803 front-porirua-1
-//     event=send upstream=i-a4f603 send=1 cost_ms=10
-//
-// Nobody read the limit; and had each gateway kept to it by itself, the sum would have passed it
-// all the same, since none alone did. Now one process counts for all.
+// An upstream short of capacity names in its answers how many requests a second it takes from all
+// gateways together. Guards against gateways that ignore the limit, or that each keep to it alone
+// so that their sum exceeds it: engines that had named 1.4 and 1.1 a second got 14 and 12 requests
+// within four seconds from gateways that knew the limit, each of which had sent 4 at the most. One
+// process therefore counts for all gateways.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -24,48 +18,48 @@
 
 constexpr double limitPerS = 1.5;
 constexpr int callers = 8;
-//! Callers that were turned away come back after this, whatever they were told.
-constexpr Millis comeBack{ 25 };
-//! Until every gateway has to keep to the limits, and two windows.
-constexpr Millis watched = knowledgeBound + 2 * limitWindow;
+//! Refused callers retry after this pause, whatever Retry-After says.
+constexpr Millis retryPause{ 25 };
+//! The time until every gateway has to keep to the limits, plus two windows.
+constexpr Millis observedTime = knowledgeBound + 2 * limitWindow;
 
-enum class Asked { plain, stream };
+enum class TrafficKind { plain, stream };
 
-//! Requests of all callers until a moment.
-struct Calls {
+//! Results of the requests of all callers.
+struct CallCounts {
     int served = 0;
     int refused = 0;
-    int ended = 0; //!< callers that have stopped
+    int finishedCallers = 0; //!< callers that have sent their last request
 };
 
-net::Task<> call( World& world, Asked what, MonoTime until, Calls& calls ) {
+net::Task<> runCaller( World& world, TrafficKind kind, MonoTime until, CallCounts& counts ) {
     while( MonoClock::now() < until ) {
         const auto status =
-            what == Asked::plain ? co_await world.askPlain() : co_await world.askStream();
-        calls.served += status == 200 ? 1 : 0;
-        calls.refused += status == 503 ? 1 : 0;
+            kind == TrafficKind::plain ? co_await world.askPlain() : co_await world.askStream();
+        counts.served += status == 200 ? 1 : 0;
+        counts.refused += status == 503 ? 1 : 0;
         if( status != 200 ) {
-            co_await net::pause( world.context, comeBack );
+            co_await net::pause( world.context, retryPause );
         }
     }
-    ++calls.ended;
+    ++counts.finishedCallers;
 }
 
-net::Task<Calls> callFor( World& world, Asked what, Millis time ) {
-    Calls calls;
+net::Task<CallCounts> runCallers( World& world, TrafficKind kind, Millis time ) {
+    CallCounts counts;
     const auto until = MonoClock::now() + time;
     for( int n = 0; n < callers; ++n ) {
-        auto task = call( world, what, until, calls );
+        auto task = runCaller( world, kind, until, counts );
         net::start( world.context, std::move( task ), "caller" );
     }
-    while( calls.ended < callers ) {
+    while( counts.finishedCallers < callers ) {
         co_await net::pause( world.context, support::look );
     }
-    co_return calls;
+    co_return counts;
 }
 
-void nameLimits( World& world, Asked what, std::optional<double> perS ) {
-    for( auto* it : world.runners( what == Asked::stream ) ) {
+void nameLimits( World& world, TrafficKind kind, std::optional<double> perS ) {
+    for( auto* it : world.runners( kind == TrafficKind::stream ) ) {
         it->nameLimit( perS );
     }
 }
@@ -77,9 +71,9 @@
     }
 }
 
-//! Requests that upstreams with this limit take in a time.
-double taken( World& world, Asked what, Millis time ) {
-    const auto count = static_cast<double>( world.runners( what == Asked::stream ).size() );
+//! Requests that all upstreams of this kind together accept under `limitPerS` within a time.
+double acceptedUnderLimit( World& world, TrafficKind kind, Millis time ) {
+    const auto count = static_cast<double>( world.runners( kind == TrafficKind::stream ).size() );
     return count * limitPerS * std::chrono::duration<double>( time ).count();
 }
 
@@ -88,66 +82,66 @@
 TEST_CASE( "Engines that name a limit get no more from all gateways together",
            "[promise][limit]" ) {
     World world;
-    Calls calls;
+    CallCounts counts;
     world.play( [&]() -> net::Task<> {
-        nameLimits( world, Asked::stream, limitPerS );
-        calls = co_await callFor( world, Asked::stream, watched );
+        nameLimits( world, TrafficKind::stream, limitPerS );
+        counts = co_await runCallers( world, TrafficKind::stream, observedTime );
     } );
     checkLimits( world );
-    CHECK( calls.refused > 0 );
-    CHECK( calls.served > taken( world, Asked::stream, watched ) / 2 );
+    CHECK( counts.refused > 0 );
+    CHECK( counts.served > acceptedUnderLimit( world, TrafficKind::stream, observedTime ) / 2 );
 }
 
 TEST_CASE( "Plain upstreams that name a limit get no more from all gateways together",
            "[promise][limit]" ) {
     World world;
-    Calls calls;
+    CallCounts counts;
     world.play( [&]() -> net::Task<> {
-        nameLimits( world, Asked::plain, limitPerS );
-        calls = co_await callFor( world, Asked::plain, watched );
+        nameLimits( world, TrafficKind::plain, limitPerS );
+        counts = co_await runCallers( world, TrafficKind::plain, observedTime );
     } );
     checkLimits( world );
-    CHECK( calls.refused > 0 );
-    CHECK( calls.served > taken( world, Asked::plain, watched ) / 2 );
+    CHECK( counts.refused > 0 );
+    CHECK( counts.served > acceptedUnderLimit( world, TrafficKind::plain, observedTime ) / 2 );
 }
 
 TEST_CASE( "A limit holds where gateways are connected to some of many sidecars",
            "[promise][limit][size]" ) {
     World world( WorldSize{ 3, 72, 3 } );
-    Calls calls;
+    CallCounts counts;
     world.play( [&]() -> net::Task<> {
-        nameLimits( world, Asked::plain, limitPerS );
-        calls = co_await callFor( world, Asked::plain, watched );
+        nameLimits( world, TrafficKind::plain, limitPerS );
+        counts = co_await runCallers( world, TrafficKind::plain, observedTime );
     } );
     checkLimits( world );
-    CHECK( calls.served > taken( world, Asked::plain, watched ) / 2 );
+    CHECK( counts.served > acceptedUnderLimit( world, TrafficKind::plain, observedTime ) / 2 );
 }
 
 TEST_CASE( "A limit holds while no sidecar can be reached", "[promise][limit]" ) {
     World world;
-    Calls calls;
+    CallCounts counts;
     world.play( [&]() -> net::Task<> {
         for( auto& it : world.deployment->sidecars() ) {
             it->toIt->setMode( LinkMode::silent );
         }
-        nameLimits( world, Asked::plain, limitPerS );
-        calls = co_await callFor( world, Asked::plain, watched );
+        nameLimits( world, TrafficKind::plain, limitPerS );
+        counts = co_await runCallers( world, TrafficKind::plain, observedTime );
     } );
     checkLimits( world );
-    CHECK( calls.served > 0 );
+    CHECK( counts.served > 0 );
 }
 
 TEST_CASE( "What a limit kept away comes again once answers name none", "[promise][limit]" ) {
     constexpr Millis after{ 3000 };
     World world;
-    Calls calls;
+    CallCounts counts;
     world.play( [&]() -> net::Task<> {
-        nameLimits( world, Asked::plain, limitPerS );
-        co_await callFor( world, Asked::plain, knowledgeBound );
-        nameLimits( world, Asked::plain, std::nullopt );
-        co_await callFor( world, Asked::plain, after );
-        calls = co_await callFor( world, Asked::plain, after );
+        nameLimits( world, TrafficKind::plain, limitPerS );
+        co_await runCallers( world, TrafficKind::plain, knowledgeBound );
+        nameLimits( world, TrafficKind::plain, std::nullopt );
+        co_await runCallers( world, TrafficKind::plain, after );
+        counts = co_await runCallers( world, TrafficKind::plain, after );
     } );
-    CHECK( calls.refused == 0 );
-    CHECK( calls.served > 2 * taken( world, Asked::plain, after ) );
+    CHECK( counts.refused == 0 );
+    CHECK( counts.served > 2 * acceptedUnderLimit( world, TrafficKind::plain, after ) );
 }
--- a/tests/promise/memory.tests.cpp
+++ b/tests/promise/memory.tests.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t acceleratorBytes = 100;
 constexpr Millis orderLateness{ 50 };
 
-//! An engine in virtual time; the judge of what is committed.
+//! An engine in virtual time that counts as breaches the loads that exceed its memory.
 struct FakeEngine {
     bool checks = true;
     std::vector<std::uint64_t> capacity{ acceleratorBytes, acceleratorBytes };
@@ -35,7 +35,7 @@
         return out;
     }
 
-    //! False when the token is refused.
+    //! Returns false when the token is refused.
     bool admit( std::uint64_t orderEpoch, OrderNumber orderNumber ) {
         const bool newer = orderEpoch > epoch || ( orderEpoch == epoch && orderNumber > number );
         if( checks && !newer ) {
@@ -71,43 +71,43 @@
     }
 };
 
-//! An order that is still on its way to the engine.
-struct Late {
+//! An order that is still in transit to the engine.
+struct DelayedOrder {
     MonoTime due;
     std::uint64_t epoch = 0;
     Order order;
 };
 
-//! An agent and its engine, driven by drawn numbers.
-class Duel {
+//! Simulates an agent and its engine, driven by random numbers.
+class LedgerSimulation {
 public:
-    explicit Duel( bool checks ) {
+    explicit LedgerSimulation( bool checks ) {
         m_engine.checks = checks;
         restart();
     }
 
-    void step( std::uint32_t draw ) {
-        m_draw = draw;
-        if( take( 40 ) == 0 ) {
+    void step( std::uint32_t randomBits ) {
+        m_randomBits = randomBits;
+        if( drawBelow( 40 ) == 0 ) {
             restart();
         }
-        if( take( 6 ) == 0 ) {
-            want();
+        if( drawBelow( 6 ) == 0 ) {
+            drawWanted();
         }
-        m_now += Millis( take( 12 ) );
-        deliverLate();
-        act();
+        m_now += Millis( drawBelow( 12 ) );
+        deliverDelayed();
+        performNext();
         RC_ASSERT( m_engine.breaches == 0U );
         RC_ASSERT( withinCapacity( m_protocol.ledger ) );
     }
 
-    //! After the faults have ended: the ledger holds what the engine holds.
-    void settleDown() {
-        m_calm = true;
+    //! Runs on without faults, then checks that the ledger agrees with the engine.
+    void settleWithoutFaults() {
+        m_faultsEnded = true;
         for( int n = 0; n < 400; ++n ) {
             m_now += Millis( 10 );
-            deliverLate();
-            act();
+            deliverDelayed();
+            performNext();
         }
         RC_ASSERT( m_engine.breaches == 0U );
         RC_ASSERT( m_protocol.ledger.charges.size() == m_engine.items.size() );
@@ -122,10 +122,10 @@
     std::uint64_t orders() const { return m_orders; }
 
 private:
-    //! Uses up part of the drawn number.
-    std::uint32_t take( std::uint32_t bound ) {
-        const auto out = m_draw % bound;
-        m_draw /= bound;
+    //! Takes a number below `bound` from the random bits of this step.
+    std::uint32_t drawBelow( std::uint32_t bound ) {
+        const auto out = m_randomBits % bound;
+        m_randomBits /= bound;
         return out;
     }
 
@@ -139,12 +139,12 @@
         reportRead( m_protocol, m_engine.items, m_now );
     }
 
-    void want() {
+    void drawWanted() {
         m_wanted.clear();
-        const auto count = 1 + take( 3 );
+        const auto count = 1 + drawBelow( 3 );
         for( std::uint32_t n = 0; n < count; ++n ) {
-            const std::string name = "m" + std::to_string( take( 4 ) );
-            const std::string version = take( 3 ) == 0 ? "2" : "1";
+            const std::string name = "m" + std::to_string( drawBelow( 4 ) );
+            const std::string version = drawBelow( 3 ) == 0 ? "2" : "1";
             const Footprint model{
                 { ItemKind::model, name, version, "" }, 30 + 10 * ( n % 3 ), 1 + n % 2 };
             m_wanted.push_back( { model, n == 0 } );
@@ -155,42 +155,43 @@
         }
     }
 
-    void deliverLate() {
-        std::vector<Late> left;
-        for( auto& it : m_late ) {
+    void deliverDelayed() {
+        std::vector<DelayedOrder> remaining;
+        for( auto& it : m_delayed ) {
             if( it.due <= m_now ) {
                 m_engine.apply( it.epoch, it.order );
             } else {
-                left.push_back( std::move( it ) );
+                remaining.push_back( std::move( it ) );
             }
         }
-        m_late = std::move( left );
+        m_delayed = std::move( remaining );
     }
 
-    void act() {
+    void performNext() {
         StepRules rules;
         rules.minResidency = Millis( 1 );
         const auto next = nextInstruction( m_protocol, m_wanted, {}, rules, m_now );
         switch( next.kind ) {
         case InstructionKind::takeEpoch:
-            if( m_calm || take( 3 ) != 0 ) {
+            if( m_faultsEnded || drawBelow( 3 ) != 0 ) {
                 epochTaken( m_protocol, ++m_epochs );
             }
             return;
         case InstructionKind::fence:
-            if( m_engine.admit( m_protocol.epoch, next.number ) && ( m_calm || take( 4 ) != 0 ) ) {
+            if( m_engine.admit( m_protocol.epoch, next.number ) &&
+                ( m_faultsEnded || drawBelow( 4 ) != 0 ) ) {
                 fenceDone( m_protocol );
             } else {
                 reportRead( m_protocol, m_engine.items, m_now );
             }
             return;
         case InstructionKind::readReport:
-            if( m_calm || take( 4 ) != 0 ) {
+            if( m_faultsEnded || drawBelow( 4 ) != 0 ) {
                 reportRead( m_protocol, m_engine.items, m_now );
             }
             return;
         case InstructionKind::wait:
-            // The agent looks at what is resident meanwhile; that look must decide nothing.
+            // The agent reads a report while it waits; this report must not settle any order.
             reportRead( m_protocol, m_engine.items, m_now );
             return;
         case InstructionKind::idle:
@@ -203,22 +204,22 @@
     void send( const Order& order ) {
         ++m_orders;
         const auto sentAt = m_now;
-        const auto late = [&] {
-            m_late.push_back( { sentAt + Millis( take( 49 ) ), m_protocol.epoch, order } );
+        const auto deliverLater = [&] {
+            m_delayed.push_back( { sentAt + Millis( drawBelow( 49 ) ), m_protocol.epoch, order } );
         };
-        const auto fate = m_calm ? 9U : take( 10 );
-        if( fate == 0 ) { // lost
+        const auto faultDraw = m_faultsEnded ? 9U : drawBelow( 10 );
+        if( faultDraw == 0 ) { // the order is lost
             orderEnded( m_protocol, order.number, OrderResult::unknown, sentAt );
-        } else if( fate == 1 ) { // late
-            late();
+        } else if( faultDraw == 1 ) { // the order arrives late
+            deliverLater();
             orderEnded( m_protocol, order.number, OrderResult::unknown, sentAt );
-        } else if( fate == 2 ) { // the answer is lost
+        } else if( faultDraw == 2 ) { // the answer is lost
             m_engine.apply( m_protocol.epoch, order );
             orderEnded( m_protocol, order.number, OrderResult::unknown, sentAt );
         } else {
             const bool done = m_engine.apply( m_protocol.epoch, order );
-            if( fate == 3 ) { // duplicated
-                late();
+            if( faultDraw == 3 ) { // the order is duplicated
+                deliverLater();
             }
             orderEnded( m_protocol, order.number, done ? OrderResult::done : OrderResult::refused,
                         sentAt );
@@ -228,12 +229,12 @@
     FakeEngine m_engine;
     OrderProtocol m_protocol;
     std::vector<Wanted> m_wanted;
-    std::vector<Late> m_late;
+    std::vector<DelayedOrder> m_delayed;
     MonoTime m_now = MonoTime{} + std::chrono::hours( 1 );
     std::uint64_t m_epochs = 0;
-    std::uint32_t m_draw = 0;
+    std::uint32_t m_randomBits = 0;
     std::uint64_t m_orders = 0;
-    bool m_calm = false;
+    bool m_faultsEnded = false;
 };
 
 std::uint64_t breaches( const fleet::Node& engine ) {
@@ -275,13 +276,13 @@
                          : "with an engine that does not check tokens",
                   [checks] {
                       const auto draws = fleet::draws( 1300 );
-                      Duel duel( checks );
+                      LedgerSimulation simulation( checks );
                       for( const auto it : draws ) {
-                          duel.step( it );
+                          simulation.step( it );
                       }
-                      duel.settleDown();
+                      simulation.settleWithoutFaults();
                       steps += draws.size();
-                      orders += duel.orders();
+                      orders += simulation.orders();
                   } );
     }
     CHECK( steps >= 100000 );
@@ -294,23 +295,23 @@
     fleet::Fleet fleet;
     auto& engine =
         fleet.engine( "e", { "--load-ms=300", checks ? "--checks=true" : "--checks=false" } );
-    const fleet::Args quick{ "--min-residency-ms", "50" };
-    fleet.agent( "a", engine.url, quick );
+    const fleet::Args agentOptions{ "--min-residency-ms", "50" };
+    fleet.agent( "a", engine.url, agentOptions );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
     fleet::Fleet::require( entry, fleet::usualConfig( checks ) );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model n memory=900MiB" );
-    // The first load lands late, after the agent that ordered it has died.
+    // The first load reaches the engine late, after the agent that sent the order has been killed.
     fleet::Fleet::setFaults( engine, { { "late_orders", 1 }, { "late_ms", 300 } } );
     std::jthread caller( [&] { fleet::streamCall( entry.url, fleet::chatBody( "n", "x", 4 ) ); } );
     fleet::waitUntil( "the order", [&] {
         return fleet.node( "a" ).process->output().find( "outcome=unknown" ) != std::string::npos;
     } );
     fleet.node( "a" ).process->kill();
-    fleet.agent( "a", engine.url, quick );
+    fleet.agent( "a", engine.url, agentOptions );
     caller.join();
-    fleet::waitUntil( "a whole answer", [&] {
+    fleet::waitUntil( "a complete answer", [&] {
         return fleet::streamCall( entry.url, fleet::chatBody( "m", "hello", 8 ) ).text ==
                fleet::expectedText( "m", "hello", 8 );
     } );
@@ -364,9 +365,9 @@
         }
     }
     CHECK( breaches( engine ) == 0 );
-    // Only one of the two fits, and both were asked for: the planner may have changed places by
-    // now. Whatever it chose, what the ledger says must be what the engine holds.
-    fleet::waitUntil( "the ledger says what the engine holds", [&] {
+    // Only one of the two models fits and both were requested, so the planner may have replaced one
+    // by the other by now. Whichever it chose, the ledger must agree with the engine.
+    fleet::waitUntil( "the ledger to agree with the engine", [&] {
         const auto held = heldModels( engine );
         const bool agrees = ( modelState( entry, "m" ) == "loaded" ) == held.contains( "m" ) &&
                             ( modelState( entry, "n" ) == "loaded" ) == held.contains( "n" );
--- a/tests/promise/overload.tests.cpp
+++ b/tests/promise/overload.tests.cpp
@@ -36,9 +36,9 @@
     CHECK( router::expectedWait( queue ) == Millis( 1300 ) );
     CHECK_FALSE( router::admit( queue, 0, Millis( 60000 ) ).admitted );
     CHECK( router::admit( queue, 9, Millis( 60000 ) ).admitted );
-    const auto late = router::admit( queue, 9, Millis( 1000 ) );
-    CHECK_FALSE( late.admitted );
-    CHECK( late.retryAfter == Millis( 1300 ) );
+    const auto missesDeadline = router::admit( queue, 9, Millis( 1000 ) );
+    CHECK_FALSE( missesDeadline.admitted );
+    CHECK( missesDeadline.retryAfter == Millis( 1300 ) );
     queue.running = 3;
     queue.queued = 0;
     CHECK( router::admit( queue, 0, Millis( 1 ) ).admitted );
@@ -56,43 +56,44 @@
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 2 );
     Fleet::require( entry, "create service balance" );
-    std::atomic<int> good{ 0 };
+    std::atomic<int> served{ 0 };
     std::atomic<int> refused{ 0 };
-    std::atomic<int> other{ 0 };
+    std::atomic<int> otherAnswers{ 0 };
     constexpr int callers = 24;
-    constexpr int each = 40;
+    constexpr int requestsPerCaller = 40;
     fleet.node( "a1" ).process->kill();
     {
         std::vector<std::jthread> threads;
         for( int n = 0; n < callers; ++n ) {
             threads.emplace_back( [&] {
-                for( int k = 0; k < each; ++k ) {
+                for( int k = 0; k < requestsPerCaller; ++k ) {
                     const auto got = fleet::call( entry.url, "GET", "/services/balance/1" );
                     if( got.response.status == 200 ) {
-                        ++good;
+                        ++served;
                     } else if( got.response.status == 503 &&
                                got.response.headers.contains( "Retry-After" ) ) {
                         ++refused;
-                        // Half of what we are told, so that the load stays far over capacity.
+                        // Half of the retry delay that the answer names, so that the load stays far
+                        // above capacity.
                         std::this_thread::sleep_for( Millis( 10 ) );
                     } else {
-                        ++other;
+                        ++otherAnswers;
                     }
                 }
             } );
         }
     }
-    CHECK( good + refused == callers * each );
-    CHECK( other == 0 );
+    CHECK( served + refused == callers * requestsPerCaller );
+    CHECK( otherAnswers == 0 );
     const auto text = fleet::call( entry.url, "GET", "/metrics" ).response.body;
     const auto at = text.find( "coursehead_retries_total{reason=\"standard\"} " );
     const auto retries =
         at == std::string::npos ? 0.0 : std::stod( text.substr( text.find( ' ', at ) + 1 ) );
-    CHECK( retries <= callers * each * 0.1 + 5 );
-    // What was admitted was served: the service ran exactly what callers got.
+    CHECK( retries <= callers * requestsPerCaller * 0.1 + 5 );
+    // Every admitted request was served: the runs of the service equal the callers' answers.
     const auto runs = Fleet::get( fleet.node( "s2" ).url, "/runs" ).value( "none", 0 );
-    CHECK( runs == good );
-    CHECK( good > 0 );
+    CHECK( runs == served );
+    CHECK( served > 0 );
 }
 
 TEST_CASE( "An entry without room answers at once", "[promise][overload][process]" ) {
--- a/tests/promise/poison.tests.cpp
+++ b/tests/promise/poison.tests.cpp
@@ -3,18 +3,11 @@
 
 #include <catch2/catch.hpp>
 
-// Some requests end every upstream that begins to run them. Their clients send them again, each
-// time as a new request with an id of its own, to any gateway; each gateway gave each of them the
-// attempts of its route, charged the ends to the upstreams, and forgot the request with its answer.
-// In the logs of one evening five gateways sent the same content on, two sends a try, and one
-// engine after the other went:
-//
-//     event=send_failed upstream=i-673c68 why="partial message" cut_stream=no after_ms=1231
-//     event=send_failed upstream=i-89a565 why="partial message" cut_stream=no after_ms=1389
-//     event=own_answer status=502 why="partial message"
-//
-// 51 engines ended under one request, 53 under another, and with each up to seventeen requests that
-// ran beside it.
+// Some requests end every upstream that starts to run them. Guards against gateways that keep
+// sending such a request: its clients retry it as new requests, each with an id of its own, at any
+// gateway. Each gateway gave each of them all attempts of its route, charged the failures to the
+// upstreams and forgot the request after its answer. With five gateways and two sends a try, one
+// request ended 51 engines and another 53; each engine took up to seventeen other requests with it.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -24,9 +17,9 @@
 
 namespace {
 
-//! Upstreams that may end under a request: three that show what it is, and those that had it before
-//! everybody knew.
-constexpr int mostEndings = 5;
+//! Upstreams that may end under one request: three as the evidence for a quarantine, and those that
+//! received the request before all gateways knew of the quarantine.
+constexpr int maxEndedUpstreams = 5;
 
 std::string pathOf( const char* route ) {
     return std::string( "/" ) + route + "/" + std::string( endsUpstream );
@@ -43,7 +36,7 @@
         co_await world.waitUntilSettled();
         other = co_await world.ask( "POST", "/stream/other", "summary" );
     } );
-    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= mostEndings );
+    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= maxEndedUpstreams );
     CHECK( other == 200 );
 }
 
@@ -54,7 +47,7 @@
     world.play( [&]() -> net::Task<> {
         co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
     } );
-    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= mostEndings );
+    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= maxEndedUpstreams );
 }
 
 TEST_CASE( "A plain request that ends every upstream that runs it stops being sent",
@@ -62,7 +55,7 @@
     World world;
     world.play(
         [&]() -> net::Task<> { co_await world.askAgainAndAgain( "GET", pathOf( "safe" ), "" ); } );
-    CHECK( world.record.endings( pathOf( "safe" ) + " " ) <= mostEndings );
+    CHECK( world.record.endings( pathOf( "safe" ) + " " ) <= maxEndedUpstreams );
 }
 
 TEST_CASE( "What requests have done outlasts every process", "[promise][poison]" ) {
@@ -72,5 +65,5 @@
         world.restartAll();
         co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
     } );
-    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= mostEndings );
+    CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= maxEndedUpstreams );
 }
--- a/tests/promise/reach.tests.cpp
+++ b/tests/promise/reach.tests.cpp
@@ -15,10 +15,10 @@
 constexpr int modelCount = 6;
 
 //! Two runners of 1 GiB and six models of 400 MiB: four fit at a time.
-struct Crowded {
+struct CrowdedSetup {
     Fleet fleet;
 
-    explicit Crowded( const fleet::Args& agentOptions = { "--min-residency-ms", "0" } ) {
+    explicit CrowdedSetup( const fleet::Args& agentOptions = { "--min-residency-ms", "0" } ) {
         for( const char* n : { "1", "2" } ) {
             auto& engine = fleet.engine( std::string( "e" ) + n );
             fleet.agent( std::string( "a" ) + n, engine.url, agentOptions );
@@ -41,15 +41,15 @@
     fleet::Node& entry1() { return fleet.node( "entry1" ); }
     fleet::Node& entry2() { return fleet.node( "entry2" ); }
 
-    fleet::Streamed ask( int n, int tokens = 6 ) {
+    fleet::Streamed streamAnswer( int n, int tokens = 6 ) {
         return fleet::streamCall( entry1().url,
                                   fleet::chatBody( "m" + std::to_string( n ), "q", tokens ) );
     }
-    //! Every model answers, coming back when told to.
+    //! Checks that every model answers; refused requests must name a retry delay and are retried.
     void checkAll() {
         for( int n = 0; n < modelCount; ++n ) {
             fleet::waitUntil( "the model's answer", [&] {
-                const auto got = ask( n );
+                const auto got = streamAnswer( n );
                 CHECK( ( got.done || got.error["retry_after_ms"] > 0 ) );
                 return got.text == fleet::expectedText( "m" + std::to_string( n ), "q", 6 );
             } );
@@ -66,87 +66,88 @@
 
 TEST_CASE( "Every created model answers, though not all fit at once",
            "[promise][reach][process]" ) {
-    Crowded desk;
-    desk.checkAll();
-    desk.checkAll();
-    desk.checkMemory();
+    CrowdedSetup setup;
+    setup.checkAll();
+    setup.checkAll();
+    setup.checkMemory();
 }
 
 TEST_CASE( "Every model still answers after a runner has died", "[promise][reach][process]" ) {
-    Crowded desk;
-    desk.checkAll();
-    desk.fleet.node( "a1" ).process->kill();
-    desk.fleet.node( "e1" ).process->kill();
-    desk.checkAll();
+    CrowdedSetup setup;
+    setup.checkAll();
+    setup.fleet.node( "a1" ).process->kill();
+    setup.fleet.node( "e1" ).process->kill();
+    setup.checkAll();
 }
 
 TEST_CASE( "Every model answers while the store is down and no planner can be elected",
            "[promise][reach][process]" ) {
-    Crowded desk;
-    Fleet::setFaults( desk.fleet.store(), { { "outage", true } } );
+    CrowdedSetup setup;
+    Fleet::setFaults( setup.fleet.store(), { { "outage", true } } );
     fleet::waitUntil( "the lease to lapse", [&] {
-        return Fleet::metric( desk.entry1().url, "coursehead_leading" ) == 0 &&
-               Fleet::metric( desk.entry2().url, "coursehead_leading" ) == 0;
+        return Fleet::metric( setup.entry1().url, "coursehead_leading" ) == 0 &&
+               Fleet::metric( setup.entry2().url, "coursehead_leading" ) == 0;
     } );
-    desk.checkAll();
-    desk.checkMemory();
+    setup.checkAll();
+    setup.checkMemory();
 }
 
 TEST_CASE( "With memory full of busy models the caller is told at once when to come back",
            "[promise][reach][process]" ) {
-    Crowded desk;
+    CrowdedSetup setup;
     std::vector<std::jthread> busy;
     for( int n = 0; n < 4; ++n ) {
-        busy.emplace_back( [&desk, n] { desk.ask( n, 1500 ); } );
-        fleet::waitUntil( "it runs", [&] {
-            const auto one = Fleet::get( desk.fleet.node( "e1" ).url, "/status" )["running"];
-            const auto two = Fleet::get( desk.fleet.node( "e2" ).url, "/status" )["running"];
+        busy.emplace_back( [&setup, n] { setup.streamAnswer( n, 1500 ); } );
+        fleet::waitUntil( "the request to run", [&] {
+            const auto one = Fleet::get( setup.fleet.node( "e1" ).url, "/status" )["running"];
+            const auto two = Fleet::get( setup.fleet.node( "e2" ).url, "/status" )["running"];
             return one.get<int>() + two.get<int>() == n + 1;
         } );
     }
     const auto begin = MonoClock::now();
-    const auto got = desk.ask( 5 );
-    // Far below the deadline of 120 s: it was not held back.
+    const auto got = setup.streamAnswer( 5 );
+    // Far below the deadline of 120 s: the request was not queued.
     CHECK( MonoClock::now() - begin < std::chrono::seconds( 10 ) );
     CHECK( got.status == 503 );
     CHECK( got.error["outcome"] == "not-run" );
     CHECK( got.error["retry_after_ms"] > 0 );
-    desk.checkMemory();
-    desk.entry1().process->kill();
+    setup.checkMemory();
+    setup.entry1().process->kill();
 }
 
 TEST_CASE( "When the planner is paused past its lease another takes over, and one leads at a time",
            "[promise][reach][process]" ) {
-    Crowded desk;
+    CrowdedSetup setup;
     const auto leading = [&]( fleet::Node& it ) {
         return Fleet::metric( it.url, "coursehead_leading" ) == 1;
     };
     fleet::waitUntil( "a planner",
-                      [&] { return leading( desk.entry1() ) || leading( desk.entry2() ); } );
-    auto& first = leading( desk.entry1() ) ? desk.entry1() : desk.entry2();
-    auto& second = &first == &desk.entry1() ? desk.entry2() : desk.entry1();
+                      [&] { return leading( setup.entry1() ) || leading( setup.entry2() ); } );
+    auto& first = leading( setup.entry1() ) ? setup.entry1() : setup.entry2();
+    auto& second = &first == &setup.entry1() ? setup.entry2() : setup.entry1();
     first.process->signal( SIGSTOP );
     fleet::waitUntil( "the other to lead", [&] { return leading( second ); } );
     first.process->signal( SIGCONT );
     CHECK_FALSE( leading( first ) );
     CHECK( leading( second ) );
-    desk.checkAll();
+    setup.checkAll();
 }
 
 TEST_CASE( "The planner loads the copies that operators ask for", "[promise][reach][process]" ) {
-    Crowded desk;
+    CrowdedSetup setup;
     const auto copies = [&]( const std::string& model ) {
-        const auto got = Fleet::command( desk.entry1(), "show models where name = " + model );
+        const auto got = Fleet::command( setup.entry1(), "show models where name = " + model );
         return got["tables"][0]["rows"][0].back().get<std::string>();
     };
-    // Three models stay, so that a second copy of one has room: last copies are never given up.
-    Fleet::require( desk.entry1(), "begin\ndelete model m3\ndelete model m4\n"
-                                   "delete model m5\nset model m0 replicas=2\ncommit" );
+    // Only three models remain, so that a second copy of one fits: the last copy of a model is
+    // never unloaded for it.
+    Fleet::require( setup.entry1(), "begin\ndelete model m3\ndelete model m4\n"
+                                    "delete model m5\nset model m0 replicas=2\ncommit" );
     fleet::waitUntil(
         "two copies", [&] { return copies( "m0" ) == "2"; }, 30 );
-    const auto why = Fleet::command( desk.entry1(), "why model m0" );
+    const auto why = Fleet::command( setup.entry1(), "why model m0" );
     CHECK( why["tables"][0]["rows"].size() >= 2 );
-    desk.checkMemory();
+    setup.checkMemory();
 }
 
 TEST_CASE( "Two holders of the lease never act at the same moment", "[promise][reach][property]" ) {
@@ -155,7 +156,7 @@
         const auto draws = fleet::draws( 600 );
         MonoTime now = MonoTime{} + std::chrono::hours( 1 );
         std::vector<LeaseView> views( 3 );
-        std::vector<MonoTime> asleepUntil( 3 );
+        std::vector<MonoTime> pausedUntil( 3 );
         for( std::size_t n = 0; n < views.size(); ++n ) {
             views[n].self = std::to_string( n );
             views[n].length = Millis( 600 );
@@ -164,22 +165,22 @@
         LeaseRecord stored;
         std::uint64_t version = 0;
         std::uint64_t acted = 0;
-        for( auto draw : draws ) {
-            const auto take = [&draw]( std::uint32_t bound ) {
-                const auto out = draw % bound;
-                draw /= bound;
+        for( auto randomBits : draws ) {
+            const auto drawBelow = [&randomBits]( std::uint32_t bound ) {
+                const auto out = randomBits % bound;
+                randomBits /= bound;
                 return out;
             };
-            now += Millis( take( 60 ) );
-            const auto n = take( 3 );
-            if( take( 30 ) == 0 ) {
-                asleepUntil[n] = now + Millis( take( 2000 ) );
+            now += Millis( drawBelow( 60 ) );
+            const auto n = drawBelow( 3 );
+            if( drawBelow( 30 ) == 0 ) {
+                pausedUntil[n] = now + Millis( drawBelow( 2000 ) );
             }
-            if( now < asleepUntil[n] ) {
+            if( now < pausedUntil[n] ) {
                 continue;
             }
             auto& view = views[n];
-            if( take( 4 ) != 0 ) {
+            if( drawBelow( 4 ) != 0 ) {
                 observe( view, exists, stored, version, now );
             }
             const auto action = nextAction( view, now );
@@ -188,14 +189,14 @@
                 const auto record = nextRecord( view, action );
                 const bool current =
                     action == LeaseAction::create ? !exists : exists && view.version == version;
-                const auto answerAfter = Millis( take( 300 ) );
+                const auto answerAfter = Millis( drawBelow( 300 ) );
                 if( current ) {
                     exists = true;
                     stored = record;
                     ++version;
-                    if( take( 5 ) != 0 ) { // else the answer is lost
+                    if( drawBelow( 5 ) != 0 ) { // otherwise the answer is lost
                         wrote( view, record, version, sentAt );
-                        asleepUntil[n] = now + answerAfter;
+                        pausedUntil[n] = now + answerAfter;
                     }
                 }
             }
--- a/tests/promise/size.tests.cpp
+++ b/tests/promise/size.tests.cpp
@@ -8,10 +8,11 @@
 
 #include <catch2/catch.hpp>
 
-// What each process costs has to stay the same while the fleet grows. 356 gateways before 624
-// sidecars were all connected to each other: 60 MB and 348 KB a second for a gateway that saw 1.4
-// requests a second. At start each called the store 32 times, and each sidecar told all gateways
-// everything whenever one more had connected.
+// The cost of each process has to stay the same while the fleet grows. Guards against costs that
+// grow with it: with 356 gateways and 624 sidecars, all connected to each other, a gateway that got
+// 1.4 requests a second took 60 MB and 348 KB a second. Each gateway called the store 32 times at
+// its start, and each sidecar sent all gateways a complete report whenever another gateway
+// connected.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -31,28 +32,28 @@
     return out;
 }
 
-//! A gateway as a sidecar sees it.
-struct PretendedGateway {
+//! A gateway's connection to a sidecar, made by the test.
+struct FakeGateway {
     std::shared_ptr<net::FrameChannel> channel;
-    int wholeReports = 0;
-    int specAsks = 0;
+    int completeReports = 0;
+    int specRequests = 0;
     int gatewaysSeen = 0;
 
-    void take( std::string_view frame ) {
+    void receiveFrame( std::string_view frame ) {
         const auto message = gateway::decode( frame );
         REQUIRE( message );
         if( const auto* report = std::get_if<gateway::SidecarReport>( &*message ) ) {
-            ++wholeReports;
+            ++completeReports;
             gatewaysSeen = report->load.gateways;
         } else if( const auto* load = std::get_if<gateway::LoadReport>( &*message ) ) {
             gatewaysSeen = load->load.gateways;
         } else if( std::holds_alternative<gateway::SpecRequest>( *message ) ) {
-            ++specAsks;
+            ++specRequests;
         }
     }
 };
 
-net::Task<> connectTo( World& world, const std::string& ip, PretendedGateway& it, std::string name,
+net::Task<> connectTo( World& world, const std::string& ip, FakeGateway& it, std::string name,
                        gateway::EngineSpecKey spec ) {
     net::Socket socket( world.context );
     net::ErrorCode ec;
@@ -62,14 +63,14 @@
     it.channel =
         std::make_shared<net::FrameChannel>( std::move( socket ), net::ChannelSide::client );
     net::FrameChannel::FrameHandler handler = [&it]( std::string_view frame ) {
-        it.take( frame );
+        it.receiveFrame( frame );
     };
-    net::start( world.context, it.channel->run( std::move( handler ) ), "pretended gateway" );
-    gateway::EngineUpdate news;
-    news.gateway = std::move( name );
-    news.configVersion = 1000000;
-    news.spec = spec;
-    it.channel->send( gateway::encode( gateway::Message( news ) ) );
+    net::start( world.context, it.channel->run( std::move( handler ) ), "fake gateway" );
+    gateway::EngineUpdate update;
+    update.gateway = std::move( name );
+    update.configVersion = 1000000;
+    update.spec = spec;
+    it.channel->send( gateway::encode( gateway::Message( update ) ) );
 }
 
 net::Task<> waitUntil( World& world, const std::function<bool()>& condition ) {
@@ -100,10 +101,10 @@
         after = connections( world );
     } );
     CHECK( served == streams );
-    // Beside them a relay's, and that of the one before it.
-    constexpr std::size_t relays = 2;
-    CHECK( before <= gateways * ( decide::targetLinks + relays ) );
-    CHECK( after <= gateways * ( decide::maxLinks + relays ) );
+    // A gateway may also be connected to its relay and to the relay before that one.
+    constexpr std::size_t relayConnections = 2;
+    CHECK( before <= gateways * ( decide::targetLinks + relayConnections ) );
+    CHECK( after <= gateways * ( decide::maxLinks + relayConnections ) );
 }
 
 TEST_CASE( "Gateways that start have the store listed for them, not each for itself",
@@ -111,17 +112,18 @@
     constexpr int gateways = 10;
     World world( WorldSize{ gateways, 8, 1 } );
     std::uint64_t calls = 0;
-    std::uint64_t old = 0;
+    std::uint64_t staleLists = 0;
     world.play( [&]() -> net::Task<> {
-        old = world.deployment->store().oldLists();
-        calls = world.deployment->store().calls() - old;
+        staleLists = world.deployment->store().oldLists();
+        calls = world.deployment->store().calls() - staleLists;
         co_return;
     } );
-    // The relay lists and watches four kinds; each gateway looks for it in lists that cost a tenth.
+    // The relay lists and watches four kinds; each gateway finds the relay through lists that may
+    // be old, which cost the store a tenth.
     INFO( "store calls of " << gateways << " gateways and eight sidecars at start: " << calls
-                            << ", and lists that may be old: " << old );
+                            << ", and lists that may be old: " << staleLists );
     CHECK( calls <= 20 );
-    CHECK( old <= 4 * gateways );
+    CHECK( staleLists <= 4 * gateways );
 }
 
 TEST_CASE( "Gateways that end all at once, with all sidecars, come back through relays too",
@@ -138,7 +140,7 @@
         co_await world.waitUntilSettled();
         calls = store.calls() - store.oldLists() - before;
     } );
-    // Each sidecar reads its fence; the relays list four kinds and watch them.
+    // Each sidecar reads its fence; the relays list and watch four kinds.
     INFO( "store calls until " << gateways << " gateways are ready again: " << calls );
     CHECK( calls <= engines + 30 );
 }
@@ -146,62 +148,62 @@
 TEST_CASE( "A gateway that connects costs the others no whole report", "[promise][size]" ) {
     constexpr int gateways = 20;
     World world( WorldSize{ 1, 2, 1 } );
-    std::vector<PretendedGateway> pretended( gateways );
+    std::vector<FakeGateway> fakeGateways( gateways );
     world.play( [&]() -> net::Task<> {
         const auto ip = world.deployment->sidecars()[0]->reachedIp;
-        for( std::size_t n = 0; n < pretended.size(); ++n ) {
-            co_await connectTo( world, ip, pretended[n], "pretended-" + std::to_string( n ), 0 );
+        for( std::size_t n = 0; n < fakeGateways.size(); ++n ) {
+            co_await connectTo( world, ip, fakeGateways[n], "pretended-" + std::to_string( n ), 0 );
             co_await net::pause( world.context, Millis( 100 ) );
         }
-        co_await waitUntil( world, [&] { return pretended[0].gatewaysSeen > gateways; } );
-        for( auto& it : pretended ) {
+        co_await waitUntil( world, [&] { return fakeGateways[0].gatewaysSeen > gateways; } );
+        for( auto& it : fakeGateways ) {
             it.channel->close();
         }
     } );
-    CHECK( pretended[0].gatewaysSeen == gateways + 1 );
-    CHECK( pretended[0].wholeReports <= 3 );
+    CHECK( fakeGateways[0].gatewaysSeen == gateways + 1 );
+    CHECK( fakeGateways[0].completeReports <= 3 );
 }
 
 TEST_CASE( "What an engine is built like is told once, not by each gateway", "[promise][size]" ) {
     constexpr int gateways = 20;
     World world( WorldSize{ 1, 2, 1 } );
-    std::vector<PretendedGateway> pretended( gateways );
+    std::vector<FakeGateway> fakeGateways( gateways );
     gateway::EngineSpec engine;
     engine.slots = 4;
     engine.cacheTokens = 1000;
     const auto spec = gateway::encodeSpec( engine );
-    int asked = 0;
-    int askedLater = 0;
+    int initialSpecRequests = 0;
+    int laterSpecRequests = 0;
     world.play( [&]() -> net::Task<> {
         const auto ip = world.deployment->sidecars()[0]->reachedIp;
-        for( std::size_t n = 0; n < pretended.size(); ++n ) {
-            co_await connectTo( world, ip, pretended[n], "pretended-" + std::to_string( n ),
+        for( std::size_t n = 0; n < fakeGateways.size(); ++n ) {
+            co_await connectTo( world, ip, fakeGateways[n], "pretended-" + std::to_string( n ),
                                 spec->key );
         }
-        const auto asks = [&] {
+        const auto countSpecRequests = [&] {
             int out = 0;
-            for( const auto& it : pretended ) {
-                out += it.specAsks;
+            for( const auto& it : fakeGateways ) {
+                out += it.specRequests;
             }
             return out;
         };
-        co_await waitUntil( world, [&] { return asks() > 0; } );
-        asked = asks();
-        for( auto& it : pretended ) {
-            if( it.specAsks > 0 ) {
+        co_await waitUntil( world, [&] { return countSpecRequests() > 0; } );
+        initialSpecRequests = countSpecRequests();
+        for( auto& it : fakeGateways ) {
+            if( it.specRequests > 0 ) {
                 it.channel->send( spec->message );
             }
         }
         co_await net::pause( world.context, Millis( 500 ) );
-        for( auto& it : pretended ) {
+        for( auto& it : fakeGateways ) {
             it.channel->send( gateway::encode( gateway::Message( gateway::DemandUpdate{} ) ) );
         }
         co_await net::pause( world.context, Millis( 500 ) );
-        askedLater = asks();
-        for( auto& it : pretended ) {
+        laterSpecRequests = countSpecRequests();
+        for( auto& it : fakeGateways ) {
             it.channel->close();
         }
     } );
-    CHECK( asked == 1 );
-    CHECK( askedLater == asked );
+    CHECK( initialSpecRequests == 1 );
+    CHECK( laterSpecRequests == initialSpecRequests );
 }
--- a/tests/promise/store_copy.tests.cpp
+++ b/tests/promise/store_copy.tests.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "support/world.hpp"
 
-// A store may come back from a copy some seconds old. Its revisions go back and are given out
-// again, and what was written since the copy is gone until its writers write it again. Relays and
-// gateways compared bare revisions: a relay's word below a gateway's own revision was dropped, so
-// that gateways heard of nothing more until the count had caught up, and what the copy lacked was
-// taken for withdrawn.
+// The store may be restored from a copy that is some seconds old. Its revisions then go back and
+// are assigned again, and writes since the copy are missing until their writers repeat them. Guards
+// against relays and gateways that compare bare revisions: they dropped updates of a relay whose
+// revision was below their own, so that gateways received nothing more until the count had caught
+// up, and took objects that the copy lacked for withdrawn.
 
 using namespace coursehead;
 using namespace coursehead::soak;
@@ -15,22 +15,22 @@
 
 namespace {
 
-constexpr int asks = 12;
-//! Behind a bound: what was sent within it has arrived.
-constexpr Millis arrival{ 200 };
-//! Long enough for relays to see it.
+constexpr int requestCount = 12;
+//! Added to a bound, so that requests sent within the bound have arrived.
+constexpr Millis arrivalMargin{ 200 };
+//! Long enough for relays to notice.
 constexpr Millis outage{ 600 };
-//! Between two calls of everybody.
+//! The store is restored between two calls of any caller, so that no call fails.
 constexpr Millis unnoticed{ 0 };
-//! Writes that the copy does not have.
+//! Writes that the copy lacks.
 constexpr int lostWrites = 200;
 
-//! The store is away for so long and comes back from its copy.
-net::Task<> restore( World& world, Millis away ) {
+//! Makes the store unavailable for `outageTime`, if any, and restores it from its copy.
+net::Task<> restore( World& world, Millis outageTime ) {
     auto& store = world.deployment->store();
-    if( away.count() > 0 ) {
+    if( outageTime.count() > 0 ) {
         store.setMode( StoreMode::busy );
-        co_await net::pause( world.context, away );
+        co_await net::pause( world.context, outageTime );
     }
     store.restoreCopy();
     store.setMode( StoreMode::up );
@@ -40,10 +40,10 @@
 
 TEST_CASE( "What is written after the store has come back older reaches every gateway",
            "[promise][store]" ) {
-    const auto away = GENERATE( unnoticed, outage );
+    const auto outageTime = GENERATE( unnoticed, outage );
     World world;
     world.samePrompts = false;
-    int sentEmptied = 0;
+    int sentToEmptied = 0;
     int served = 0;
     world.play( [&]() -> net::Task<> {
         auto& store = world.deployment->store();
@@ -51,35 +51,35 @@
         for( int n = 0; n < lostWrites; ++n ) {
             store.put( "config", "lost-" + std::to_string( n ), n );
         }
-        co_await world.askStreams( asks );
-        co_await restore( world, away );
+        co_await world.askStreams( requestCount );
+        co_await restore( world, outageTime );
         co_await net::pause( world.context, contactBound );
         store.put( "evacuations", "hall-0", nlohmann::json::object() );
-        co_await net::pause( world.context, evacuationBound + arrival );
+        co_await net::pause( world.context, evacuationBound + arrivalMargin );
         const int before = world.record.runsIn( "hall-0" );
-        served = co_await world.askStreams( asks );
-        sentEmptied = world.record.runsIn( "hall-0" ) - before;
+        served = co_await world.askStreams( requestCount );
+        sentToEmptied = world.record.runsIn( "hall-0" ) - before;
     } );
-    CHECK( sentEmptied == 0 );
-    CHECK( served == asks );
+    CHECK( sentToEmptied == 0 );
+    CHECK( served == requestCount );
 }
 
 TEST_CASE( "A hall that was emptied just before the store came back older stays empty",
            "[promise][store]" ) {
     World world;
     world.samePrompts = false;
-    int sentEmptied = 0;
+    int sentToEmptied = 0;
     world.play( [&]() -> net::Task<> {
         auto& store = world.deployment->store();
         store.keepCopy();
         store.put( "evacuations", "hall-0", nlohmann::json::object() );
-        co_await net::pause( world.context, evacuationBound + arrival );
+        co_await net::pause( world.context, evacuationBound + arrivalMargin );
         const int before = world.record.runsIn( "hall-0" );
         co_await restore( world, outage );
-        co_await world.askStreams( asks );
+        co_await world.askStreams( requestCount );
         store.put( "evacuations", "hall-0", nlohmann::json::object() );
-        co_await world.askStreams( asks );
-        sentEmptied = world.record.runsIn( "hall-0" ) - before;
+        co_await world.askStreams( requestCount );
+        sentToEmptied = world.record.runsIn( "hall-0" ) - before;
     } );
-    CHECK( sentEmptied == 0 );
+    CHECK( sentToEmptied == 0 );
 }
--- a/tests/standin/answer.hpp
+++ b/tests/standin/answer.hpp
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-//! What the engine stand-in answers: a function of the model and the prompt, ending in a checksum,
-//! so that a test can tell a whole answer, and whose it is.
+//! Answers of the engine stand-in: a function of the model and the prompt that ends in a checksum,
+//! so that a test can check that an answer is complete and belongs to its request.
 namespace standin {
 
 inline std::uint32_t fnv( std::string_view text ) {
@@ -26,7 +26,7 @@
     return buf;
 }
 
-//! The answer's tokens; the last one is "#" and the checksum of all text before it.
+//! The tokens of an answer; the last one is "#" and the checksum of all text before it.
 inline std::vector<std::string> answerTokens( std::string_view model, std::string_view prompt,
                                               std::uint32_t count ) {
     std::vector<std::string> out;
@@ -40,25 +40,25 @@
     return out;
 }
 
-//! The tokens behind a text that another engine may have begun: the text itself, then the rest,
-//! with a checksum over all of it.
+//! The tokens of an answer that continues `prefix`, which another engine may have generated: the
+//! prefix itself, then the remaining tokens, with a checksum over the whole text.
 inline std::vector<std::string> continueTokens( std::vector<std::string> tokens,
-                                                std::string_view before ) {
+                                                std::string_view prefix ) {
     constexpr std::size_t tokenBytes = 9;
-    std::vector<std::string> out{ std::string( before ) };
-    std::string all( before );
-    for( auto n = before.size() / tokenBytes; n + 1 < tokens.size(); ++n ) {
+    std::vector<std::string> out{ std::string( prefix ) };
+    std::string all( prefix );
+    for( auto n = prefix.size() / tokenBytes; n + 1 < tokens.size(); ++n ) {
         out.push_back( tokens[n] );
         all += tokens[n];
     }
-    if( before.find( '#' ) == std::string_view::npos ) {
+    if( prefix.find( '#' ) == std::string_view::npos ) {
         out.push_back( "#" + hex( fnv( all ) ) );
     }
     return out;
 }
 
-//! True when the text ends in the checksum of what stands before it.
-inline bool isWhole( std::string_view text ) {
+//! True when the text ends in the checksum of the text before it.
+inline bool isComplete( std::string_view text ) {
     const auto at = text.rfind( '#' );
     return at != std::string_view::npos &&
            text.substr( at + 1 ) == hex( fnv( text.substr( 0, at ) ) );
--- a/tests/standin/engine.cpp
+++ b/tests/standin/engine.cpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <thread>
 
-// A model engine. Faults: lose_fences, lose_orders, lose_order_answers, late_orders + late_ms,
-// duplicate_orders + late_ms, cross_events, cut_streams + cut_after, freeze_streams + cut_after,
-// slow_ms (between tokens).
+// Stand-in for a model engine. Faults: lose_fences, lose_orders, lose_order_answers, late_orders +
+// late_ms, duplicate_orders + late_ms, cross_events, cut_streams + cut_after, freeze_streams +
+// cut_after, slow_ms (between tokens).
 
 namespace standin {
 
@@ -39,7 +39,7 @@
 public:
     Engine( const Options& options, std::shared_ptr<Faults> faults )
         : m_faults( std::move( faults ) ),
-          m_checks( option( options, "checks", "true" ) == "true" ),
+          m_checksTokens( option( options, "checks", "true" ) == "true" ),
           m_weights( option( options, "weights", "" ) ), m_salt( option( options, "salt", "" ) ),
           m_loadMs( numberOption( options, "load-ms", 50 ) ),
           m_tokenMs( numberOption( options, "token-ms", 5 ) ),
@@ -52,7 +52,7 @@
             return status();
         }
         if( request.path == "/orders" ) {
-            return takeOrder( Json::parse( request.body, nullptr, false ) );
+            return receiveOrder( Json::parse( request.body, nullptr, false ) );
         }
         if( request.path == "/v1/cancel" ) {
             const auto body = Json::parse( request.body, nullptr, false );
@@ -67,7 +67,7 @@
     }
 
 private:
-    std::uint64_t used( std::uint32_t accelerator ) const {
+    std::uint64_t usedBytes( std::uint32_t accelerator ) const {
         std::uint64_t out = 0;
         for( const auto& it : m_items ) {
             if( std::find( it.accelerators.begin(), it.accelerators.end(), accelerator ) !=
@@ -101,29 +101,29 @@
                         { "generations", m_generations.load() } } );
     }
 
-    Response takeOrder( Json order ) {
+    Response receiveOrder( Json order ) {
         if( order.value( "action", "" ) == "fence" ) {
-            return m_faults->take( "lose_fences" ) ? cut() : apply( order );
+            return m_faults->consume( "lose_fences" ) ? cutResponse() : apply( order );
         }
-        if( m_faults->take( "lose_orders" ) ) {
-            return cut();
+        if( m_faults->consume( "lose_orders" ) ) {
+            return cutResponse();
         }
-        const auto later = [this, order] {
+        const auto applyLate = [this, order] {
             std::thread( [self = shared_from_this(), order] {
                 std::this_thread::sleep_for( milliseconds( self->m_faults->number( "late_ms" ) ) );
                 self->apply( order );
             } ).detach();
         };
-        if( m_faults->take( "late_orders" ) ) {
-            later();
-            return cut();
+        if( m_faults->consume( "late_orders" ) ) {
+            applyLate();
+            return cutResponse();
         }
-        const bool duplicate = m_faults->take( "duplicate_orders" );
+        const bool duplicate = m_faults->consume( "duplicate_orders" );
         auto answer = apply( order );
         if( duplicate ) {
-            later();
+            applyLate();
         }
-        return m_faults->take( "lose_order_answers" ) ? cut() : answer;
+        return m_faults->consume( "lose_order_answers" ) ? cutResponse() : answer;
     }
 
     Response apply( const Json& order ) {
@@ -131,7 +131,7 @@
             const std::lock_guard lock( m_mutex );
             const Token token{ order["token"].value( "epoch", 0ULL ),
                                order["token"].value( "number", 0ULL ) };
-            if( m_checks && token <= m_token ) {
+            if( m_checksTokens && token <= m_token ) {
                 return reply( 409, { { "error", "older token" } } );
             }
             m_token = std::max( m_token, token );
@@ -163,7 +163,7 @@
                        order.value( "bytes", 0ULL ),
                        order["accelerators"].get<std::vector<std::uint32_t>>() };
             for( const auto it : item.accelerators ) {
-                if( it >= m_capacity.size() || used( it ) + item.bytes > m_capacity[it] ) {
+                if( it >= m_capacity.size() || usedBytes( it ) + item.bytes > m_capacity[it] ) {
                     ++m_breaches;
                     return reply( 507, { { "error", "out of memory" } } );
                 }
@@ -202,7 +202,7 @@
         return reply( 200, Json::object() );
     }
 
-    bool resident( const std::string& model, const std::string& version ) {
+    bool isModelReady( const std::string& model, const std::string& version ) {
         const std::lock_guard lock( m_mutex );
         return std::any_of( m_items.begin(), m_items.end(), [&]( const Item& it ) {
             return it.ready && it.name == model && ( version.empty() || it.version == version );
@@ -217,7 +217,7 @@
     Response generate( const Request& request ) {
         const auto body = Json::parse( request.body, nullptr, false );
         const auto model = body.value( "model", "" );
-        if( !resident( model, body.value( "version", "" ) ) ) {
+        if( !isModelReady( model, body.value( "version", "" ) ) ) {
             return reply( 404, { { "error", "the model is not loaded" } } );
         }
         if( m_running.fetch_add( 1 ) >= m_batch ) {
@@ -231,17 +231,17 @@
         Response out;
         out.contentType = "text/event-stream";
         auto tokens = answerTokens( model + m_salt, prompt, count );
-        const auto before = body.value( "continue_after", "" );
-        if( !before.empty() ) {
-            tokens = continueTokens( std::move( tokens ), before );
+        const auto continuedText = body.value( "continue_after", "" );
+        if( !continuedText.empty() ) {
+            tokens = continueTokens( std::move( tokens ), continuedText );
         }
         out.producer = [self = shared_from_this(), tokens = std::move( tokens ),
                         id = body.value( "request_id", "" ),
                         skip = body.value( "continue_after", "" ).size(),
                         chat]( const Sink& sink ) {
-            const bool whole = self->produce( tokens, id, skip, chat, sink );
+            const bool complete = self->produce( tokens, id, skip, chat, sink );
             self->m_running.fetch_sub( 1 );
-            return whole;
+            return complete;
         };
         return out;
     }
@@ -252,9 +252,9 @@
 
     bool produce( const std::vector<std::string>& tokens, const std::string& id, std::size_t skip,
                   bool chat, const Sink& sink ) {
-        const bool cuts = m_faults->take( "cut_streams" );
-        const bool freezes = !cuts && m_faults->take( "freeze_streams" );
-        const auto stopAfter = m_faults->number( "cut_after" );
+        const bool cutsStream = m_faults->consume( "cut_streams" );
+        const bool freezesStream = !cutsStream && m_faults->consume( "freeze_streams" );
+        const auto tokensBeforeFault = m_faults->number( "cut_after" );
         std::size_t offset = 0;
         std::int64_t sent = 0;
         for( const auto& token : tokens ) {
@@ -262,8 +262,8 @@
             if( offset <= skip ) {
                 continue;
             }
-            if( ( cuts || freezes ) && sent >= stopAfter ) {
-                if( freezes ) {
+            if( ( cutsStream || freezesStream ) && sent >= tokensBeforeFault ) {
+                if( freezesStream ) {
                     std::this_thread::sleep_for( milliseconds( m_faults->number( "freeze_ms" ) ) );
                 }
                 return false;
@@ -275,8 +275,8 @@
                                   : token;
             const Json choice = chat ? Json{ { "index", 0 }, { "delta", { { "content", text } } } }
                                      : Json{ { "index", 0 }, { "text", text } };
-            const auto owner = m_faults->take( "cross_events" ) ? "somebody-else" : id;
-            if( isCancelled( id ) || !sink( event( owner, choice ) ) ) {
+            const auto eventId = m_faults->consume( "cross_events" ) ? "somebody-else" : id;
+            if( isCancelled( id ) || !sink( event( eventId, choice ) ) ) {
                 return false;
             }
             ++sent;
@@ -289,9 +289,9 @@
     }
 
     std::shared_ptr<Faults> m_faults;
-    bool m_checks;
+    bool m_checksTokens;
     std::string m_weights;
-    std::string m_salt; //!< makes this engine's answers its own, as sampling would
+    std::string m_salt; //!< makes the answers differ between engines, as sampling would
     std::int64_t m_loadMs;
     std::int64_t m_tokenMs;
     std::int64_t m_batch;
--- a/tests/standin/faults.cpp
+++ b/tests/standin/faults.cpp
@@ -16,7 +16,7 @@
     return m_faults;
 }
 
-bool Faults::on( const char* name ) const {
+bool Faults::isOn( const char* name ) const {
     const std::lock_guard lock( m_mutex );
     return m_faults.value( name, false );
 }
@@ -26,7 +26,7 @@
     return m_faults.value( name, std::int64_t{ 0 } );
 }
 
-bool Faults::take( const char* name ) {
+bool Faults::consume( const char* name ) {
     const std::lock_guard lock( m_mutex );
     const auto left = m_faults.value( name, std::int64_t{ 0 } );
     if( left <= 0 ) {
@@ -60,7 +60,7 @@
     return out;
 }
 
-Response cut() {
+Response cutResponse() {
     Response out;
     out.producer = []( const coursehead::http::Sink& ) {
         return false;
--- a/tests/standin/main.cpp
+++ b/tests/standin/main.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 
 // coursehead-standin store|engine|service|weights [--NAME=VALUE …]
-// Prints "port=N" once it listens, and stops at SIGTERM.
+// Prints "port=N" once it listens, and exits on SIGTERM.
 
 namespace {
 
@@ -57,16 +57,16 @@
     coursehead::http::Server server( limits, handler, []( int status ) {
         return standin::reply( status, nlohmann::json::object() );
     } );
-    const auto at =
+    const auto listenAddress =
         coursehead::settings::splitAddress( standin::option( options, "listen", "127.0.0.1:0" ) );
-    const int port = server.start( at.host, at.port );
+    const int port = server.start( listenAddress.host, listenAddress.port );
     if( port < 0 ) {
-        std::cerr << "can't listen\n";
+        std::cerr << "cannot listen on the address of --listen\n";
         return 1;
     }
     std::printf( "port=%d\n", port );
     std::fflush( stdout );
     coursehead::waitForStopSignal();
-    // Streams may still wait; a stand-in has nothing to save.
+    // Exits without waiting for open streams; a stand-in has no state to save.
     std::_Exit( 0 );
 }
--- a/tests/standin/service.cpp
+++ b/tests/standin/service.cpp
@@ -4,8 +4,9 @@
 #include <chrono>
 #include <thread>
 
-// A plain service that counts its runs by idempotency key, and the weight store. The service's
-// faults: die_before (cut without running), die_after (cut after running), slow_ms.
+// Stand-ins for a plain service, which counts its runs by idempotency key, and for the weight
+// store. Faults of the service: die_before (response cut off before the run), die_after (response
+// cut off after the run), slow_ms.
 
 namespace standin {
 
@@ -24,8 +25,8 @@
             const std::lock_guard lock( m_mutex );
             return reply( 200, m_runs );
         }
-        if( m_faults->take( "die_before" ) ) {
-            return cut();
+        if( m_faults->consume( "die_before" ) ) {
+            return cutResponse();
         }
         const std::string key( request.header( "Idempotency-Key", "none" ) );
         std::uint64_t runs = 0;
@@ -35,8 +36,8 @@
             m_runs[key] = runs;
         }
         std::this_thread::sleep_for( milliseconds( m_faults->number( "slow_ms" ) ) );
-        if( m_faults->take( "die_after" ) ) {
-            return cut();
+        if( m_faults->consume( "die_after" ) ) {
+            return cutResponse();
         }
         return reply( 200, { { "ran", runs }, { "key", key }, { "path", request.path } } );
     }
@@ -47,26 +48,26 @@
     Json m_runs = Json::object();
 };
 
-//! Gives out weights at a bounded rate to a bounded number at once.
+//! Serves weights at a limited rate, to a limited number of concurrent requests.
 class WeightStore {
 public:
     explicit WeightStore( const Options& options )
         : m_interval( 1000 /
                       std::max<std::int64_t>( 1, numberOption( options, "per-second", 2 ) ) ),
-          m_limit( numberOption( options, "at-once", 8 ) ) {}
+          m_maxConcurrent( numberOption( options, "at-once", 8 ) ) {}
 
     Response handle( const Request& request ) {
-        std::chrono::steady_clock::time_point turn;
+        std::chrono::steady_clock::time_point startAt;
         {
             const std::lock_guard lock( m_mutex );
-            if( m_waiting >= m_limit ) {
+            if( m_waiting >= m_maxConcurrent ) {
                 return reply( 503, { { "error", "too many at once" } } );
             }
             ++m_waiting;
-            turn = std::max( m_next, std::chrono::steady_clock::now() );
-            m_next = turn + m_interval;
+            startAt = std::max( m_nextStart, std::chrono::steady_clock::now() );
+            m_nextStart = startAt + m_interval;
         }
-        std::this_thread::sleep_until( turn );
+        std::this_thread::sleep_until( startAt );
         const std::lock_guard lock( m_mutex );
         --m_waiting;
         return reply( 200, { { "weights", request.path } } );
@@ -74,10 +75,10 @@
 
 private:
     milliseconds m_interval;
-    std::int64_t m_limit;
+    std::int64_t m_maxConcurrent;
     std::mutex m_mutex;
     std::int64_t m_waiting = 0;
-    std::chrono::steady_clock::time_point m_next;
+    std::chrono::steady_clock::time_point m_nextStart;
 };
 
 } // namespace
--- a/tests/standin/standin.hpp
+++ b/tests/standin/standin.hpp
@@ -11,38 +11,38 @@
 #include <mutex>
 #include <string>
 
-//! Small stand-ins for the outside systems, for tests and the demo only. Their faults are set at
-//! run time by PUT /faults with a JSON object; GET /faults shows it.
+//! Stand-ins for the external systems, for tests and the demo only. PUT /faults with a JSON object
+//! sets their faults at run time; GET /faults returns that object.
 namespace standin {
 
 using Json = nlohmann::json;
 using Options = std::map<std::string, std::string, std::less<>>;
 
-//! A stand-in: answers a request.
+//! Answers the requests to one stand-in.
 using Handler = std::function<coursehead::http::Response( const coursehead::http::Request& )>;
 
-//! The faults in force, shared by a stand-in's threads.
+//! The active faults of a stand-in, shared by its threads.
 class Faults {
 public:
     void set( Json faults );
     Json all() const;
-    bool on( const char* name ) const;
-    //! A number given as `name`; 0 when absent.
+    bool isOn( const char* name ) const;
+    //! The value of the numeric fault `name`; 0 when absent.
     std::int64_t number( const char* name ) const;
-    //! Uses up one of a counted fault: true while its count is above 0.
-    bool take( const char* name );
+    //! Takes one occurrence of a counted fault; returns false when none is left.
+    bool consume( const char* name );
 
 private:
     mutable std::mutex m_mutex;
     Json m_faults = Json::object();
 };
 
-//! Answers /faults; anything else goes to `handler`.
+//! Answers /faults; passes all other requests to `handler`.
 Handler withFaults( std::shared_ptr<Faults> faults, Handler handler );
 
 coursehead::http::Response reply( int status, const Json& body );
-//! An answer that breaks off before its end: the caller can't know what happened.
-coursehead::http::Response cut();
+//! A response that is cut off before its end, so that the caller cannot know the outcome.
+coursehead::http::Response cutResponse();
 std::string option( const Options& options, std::string_view name, std::string_view fallback );
 std::int64_t numberOption( const Options& options, std::string_view name, std::int64_t fallback );
 
--- a/tests/standin/store.cpp
+++ b/tests/standin/store.cpp
@@ -6,9 +6,9 @@
 #include <thread>
 #include <vector>
 
-// The platform's object API. Faults: outage (bool), slow_ms, lose_write_answers (count),
-// list_lag_ms (of the vms list), hold_watches (bool: no news), expire_watches (count), stale_reads
-// (count: of head).
+// Stand-in for the platform's object API. Faults: outage (bool), slow_ms, lose_write_answers
+// (count), list_lag_ms (delay of the vms list), hold_watches (bool: watches deliver no events),
+// expire_watches (count), stale_reads (count, of the object `head`).
 
 namespace standin {
 
@@ -49,7 +49,7 @@
         if( !request.path.starts_with( base ) ) {
             return reply( 404, Json::object() );
         }
-        if( m_faults->on( "outage" ) ) {
+        if( m_faults->isOn( "outage" ) ) {
             return reply( 503, { { "error", "outage" } } );
         }
         std::this_thread::sleep_for( milliseconds( m_faults->number( "slow_ms" ) ) );
@@ -61,8 +61,8 @@
             return path.name.empty() ? list( request, path.kind ) : get( path );
         }
         auto answer = write( request, path );
-        if( answer.status < 300 && m_faults->take( "lose_write_answers" ) ) {
-            return cut();
+        if( answer.status < 300 && m_faults->consume( "lose_write_answers" ) ) {
+            return cutResponse();
         }
         return answer;
     }
@@ -75,20 +75,20 @@
                  slash == std::string::npos ? "" : rest.substr( slash + 1 ) };
     }
 
-    static std::string selected( const Request& request ) {
+    static std::string selectedName( const Request& request ) {
         const auto selector = request.parameter( "fieldSelector" );
         const auto at = selector.find( '=' );
         return at == std::string_view::npos ? "" : std::string( selector.substr( at + 1 ) );
     }
 
-    //! Only the list of VMs lags, not the watch on one of them.
+    //! The list and watch of all VMs lag; those of a single VM do not.
     milliseconds lagOf( const std::string& kind, const std::string& name ) const {
         const bool lags = kind == "vms" && name.empty();
         return milliseconds( lags ? m_faults->number( "list_lag_ms" ) : 0 );
     }
 
-    bool shown( const Event& event, milliseconds lag ) const {
-        if( m_faults->on( "hold_watches" ) ) {
+    bool isVisible( const Event& event, milliseconds lag ) const {
+        if( m_faults->isOn( "hold_watches" ) ) {
             return false;
         }
         return event.at + lag <= std::chrono::steady_clock::now();
@@ -98,7 +98,7 @@
         const std::lock_guard lock( m_mutex );
         ++m_reads;
         const auto it = m_objects.find( path.kind + "/" + path.name );
-        if( path.name == "head" && m_faults->take( "stale_reads" ) && !m_staleHead.is_null() ) {
+        if( path.name == "head" && m_faults->consume( "stale_reads" ) && !m_staleHead.is_null() ) {
             return reply( 200, m_staleHead );
         }
         return it == m_objects.end() ? reply( 404, Json::object() ) : reply( 200, it->second );
@@ -107,7 +107,7 @@
     Response list( const Request& request, const std::string& kind ) {
         const std::lock_guard lock( m_mutex );
         ++m_reads;
-        const auto name = selected( request );
+        const auto name = selectedName( request );
         const auto lag = lagOf( kind, name );
         std::map<std::string, Json> items;
         std::uint64_t version = 0;
@@ -152,8 +152,9 @@
         if( !create && found == m_objects.end() ) {
             return reply( 404, Json::object() );
         }
-        const auto wanted = body["metadata"].value( "resourceVersion", "" );
-        if( !create && !wanted.empty() && found->second["metadata"]["resourceVersion"] != wanted ) {
+        const auto expectedVersion = body["metadata"].value( "resourceVersion", "" );
+        if( !create && !expectedVersion.empty() &&
+            found->second["metadata"]["resourceVersion"] != expectedVersion ) {
             return reply( 409, { { "error", "conflict" } } );
         }
         return put( path.kind, name, std::move( body ), create );
@@ -191,10 +192,10 @@
             const std::lock_guard lock( m_mutex );
             ++m_watches;
         }
-        if( m_faults->take( "expire_watches" ) ) {
+        if( m_faults->consume( "expire_watches" ) ) {
             return reply( 410, Json::object() );
         }
-        const auto name = selected( request );
+        const auto name = selectedName( request );
         const auto from = std::stoull( std::string( request.parameter( "resourceVersion", "0" ) ) );
         const auto seconds =
             std::stoll( std::string( request.parameter( "timeoutSeconds", "60" ) ) );
@@ -215,9 +216,9 @@
             {
                 std::unique_lock lock( m_mutex );
                 m_changed.wait_for( lock, milliseconds( 50 ), [&] {
-                    return at < m_events.size() && shown( m_events[at], lag );
+                    return at < m_events.size() && isVisible( m_events[at], lag );
                 } );
-                for( ; at < m_events.size() && shown( m_events[at], lag ); ++at ) {
+                for( ; at < m_events.size() && isVisible( m_events[at], lag ); ++at ) {
                     const auto& it = m_events[at];
                     if( it.version > version && it.kind == kind &&
                         ( name.empty() || it.name == name ) ) {
@@ -225,10 +226,10 @@
                     }
                 }
             }
-            if( m_faults->on( "outage" ) ) {
+            if( m_faults->isOn( "outage" ) ) {
                 return false;
             }
-            // An empty line is no event; it finds out whether the watcher is still there.
+            // An empty line carries no event; sending it detects a watcher that has disconnected.
             if( !sink( lines.empty() ? "\n" : lines ) ) {
                 return false;
             }
