--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -38,17 +38,17 @@
     return out.str();
 }
 
-//! The first number behind `mark` in a process's output, once it is there.
-int awaitNumber( const Process& process, const std::string& mark ) {
+//! Waits until the process prints `prefix` followed by a number, and returns the first such number.
+int awaitNumber( const Process& process, const std::string& prefix ) {
     int out = 0;
-    waitUntil( mark.c_str(), [&] {
-        const std::regex pattern( mark + "([0-9]+)\\s" );
+    waitUntil( prefix.c_str(), [&] {
+        const std::regex pattern( prefix + "([0-9]+)\\s" );
         const auto text = process.output();
-        std::smatch found;
-        if( !std::regex_search( text, found, pattern ) ) {
+        std::smatch match;
+        if( !std::regex_search( text, match, pattern ) ) {
             return false;
         }
-        out = std::stoi( found[1] );
+        out = std::stoi( match[1] );
         return true;
     } );
     return out;
@@ -63,11 +63,11 @@
 Process::Process( const std::string& binary, const Args& args ) {
     static std::atomic<int> count{ 0 };
     const char* base = std::getenv( "TMPDIR" );
-    m_file = std::string( base != nullptr ? base : "/tmp" ) + "/coursehead-test-" +
-             std::to_string( ::getpid() ) + "-" + std::to_string( count++ ) + ".log";
+    m_logPath = std::string( base != nullptr ? base : "/tmp" ) + "/coursehead-test-" +
+                std::to_string( ::getpid() ) + "-" + std::to_string( count++ ) + ".log";
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init( &actions );
-    posix_spawn_file_actions_addopen( &actions, 1, m_file.c_str(), O_CREAT | O_WRONLY | O_APPEND,
+    posix_spawn_file_actions_addopen( &actions, 1, m_logPath.c_str(), O_CREAT | O_WRONLY | O_APPEND,
                                       0600 );
     posix_spawn_file_actions_adddup2( &actions, 1, 2 );
     std::vector<std::string> all{ binary };
@@ -77,10 +77,10 @@
         argv.push_back( it.data() );
     }
     argv.push_back( nullptr );
-    const int failed =
+    const int spawnError =
         ::posix_spawn( &m_pid, binary.c_str(), &actions, nullptr, argv.data(), environ );
     posix_spawn_file_actions_destroy( &actions );
-    REQUIRE( failed == 0 );
+    REQUIRE( spawnError == 0 );
 }
 
 Process::~Process() {
@@ -88,7 +88,7 @@
         std::fprintf( stderr, "--- log of process %d\n%s", m_pid, output().c_str() );
     }
     kill();
-    ::unlink( m_file.c_str() );
+    ::unlink( m_logPath.c_str() );
 }
 
 void Process::signal( int number ) const {
@@ -97,7 +97,8 @@
     }
     ::kill( m_pid, number );
     if( number == SIGSTOP ) {
-        // On a busy machine a process runs on for some milliseconds, long enough for a request.
+        // Under load a process runs on for some milliseconds after SIGSTOP, long enough to answer a
+        // request.
         siginfo_t stopped{};
         ::waitid( P_PID, static_cast<id_t>( m_pid ), &stopped, WSTOPPED | WEXITED | WNOWAIT );
     }
@@ -128,7 +129,7 @@
 }
 
 std::string Process::output() const {
-    return readFile( m_file );
+    return readFile( m_logPath );
 }
 
 void waitUntil( const char* what, const std::function<bool()>& condition, int seconds ) {
@@ -292,13 +293,13 @@
     const auto revision = command( entry, "show revision" )["revision"].get<std::uint64_t>();
     for( const auto& it : m_nodes ) {
         if( !it.second.httpUrl.empty() ) {
-            waitUntil( "the slots' revision everywhere", [&] {
+            waitUntil( "the revision of the slots at all agents", [&] {
                 const auto health = get( it.second.httpUrl, "/healthz" );
                 return health.is_object() && health["revision"].get<std::uint64_t>() >= revision;
             } );
         }
     }
-    // Keys must be younger than the ownership, by at least a millisecond.
+    // A key has to be at least 1 ms younger than the ownership of its slot.
     std::this_thread::sleep_for( Millis( 3 ) );
 }
 
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -21,7 +21,7 @@
 using Json = nlohmann::json;
 using Args = std::vector<std::string>;
 
-//! A child process; killed and reaped at the end.
+//! A child process; the destructor kills and reaps it.
 class Process {
 public:
     Process( const std::string& binary, const Args& args );
@@ -30,37 +30,37 @@
     Process& operator=( const Process& ) = delete;
 
     void signal( int number ) const;
-    //! Kills at once and reaps.
+    //! Sends SIGKILL and reaps the process.
     void kill();
-    //! Waits for the end and gives the exit status; -1 after `seconds`.
+    //! Waits for the process to exit and returns its exit status; -1 after `seconds`.
     int wait( int seconds );
-    //! What it printed so far, both streams.
+    //! Standard output and standard error so far.
     std::string output() const;
     pid_t pid() const { return m_pid; }
 
 private:
     pid_t m_pid = -1;
-    std::string m_file;
+    std::string m_logPath;
 };
 
-//! Waits until the condition holds; fails the test when it does not within the bound.
+//! Waits until the condition holds; fails the test when it does not within `seconds`.
 void waitUntil( const char* what, const std::function<bool()>& condition, int seconds = 20 );
 
-//! A daemon or stand-in that listens.
+//! A daemon or stand-in process with its listening port.
 struct Node {
     std::unique_ptr<Process> process;
     std::string url;
     int port = 0;
-    std::string httpUrl; //!< an agent's health and metrics
+    std::string httpUrl; //!< agents only: base URL for health and metrics
 };
 
-//! An answer read as a stream.
+//! A streamed answer, as far as it was received.
 struct Streamed {
     int status = 0;
     std::string text;
-    std::string lastId;  //!< of the last event with an id
-    bool done = false;   //!< [DONE] was seen
-    Json error;          //!< of an error event, or an error answer's body
+    std::string lastId;  //!< id of the last event that had one
+    bool done = false;   //!< the final [DONE] event was received
+    Json error;          //!< from an error event, or from the body of an error answer
     bool broken = false; //!< the connection was cut
 };
 
@@ -77,27 +77,27 @@
     Node& entry( const std::string& name, const Args& options = {} );
     Node& node( const std::string& name ) { return m_nodes.at( name ); }
 
-    //! Puts a VM on the platform's list, or changes its state.
+    //! Adds a VM to the platform's list, or changes its state there.
     void listVm( const std::string& name, const std::string& role, int port,
                  const std::string& state = "live" );
     void unlistVm( const std::string& name );
 
-    //! Runs an operator's text; the answer's JSON.
+    //! Runs an operator command and returns the JSON of its answer.
     static Json command( const Node& entry, const std::string& text, int waitMs = 0 );
-    //! Runs it and fails the test unless it is accepted and in force everywhere.
+    //! Runs an operator command; fails the test unless it is accepted and in force everywhere.
     static void require( const Node& entry, const std::string& text );
     static void setFaults( const Node& node, const Json& faults );
     static Json get( const std::string& url, const std::string& path );
     //! A metric's value; 0 when absent.
     static double metric( const std::string& url, const std::string& name );
 
-    //! Waits until the entry sees that many agents, all reporting.
+    //! Waits until the entry lists that many agents as up, which means that all of them report.
     void waitForAgents( const Node& entry, std::size_t count );
-    //! Waits until that many agents give orders.
+    //! Waits until the entry lists that many agents as giving orders.
     static void waitForOrders( const Node& entry, std::size_t count );
-    //! Waits until the claim slots are given out and known everywhere.
+    //! Waits until the claim slots are assigned and every agent has that revision.
     void waitForSlots( const Node& entry );
-    //! A fresh idempotency key, made after this call's moment.
+    //! A new idempotency key with the current time.
     static std::string key();
 
 private:
@@ -105,28 +105,29 @@
     std::map<std::string, Node> m_nodes;
 };
 
-//! Numbers drawn over their full range (RapidCheck's own start small), to steer a test's history.
+//! Random numbers that determine the course of a test, over the full range: RapidCheck's own
+//! generators start with small values.
 std::vector<std::uint32_t> draws( std::size_t count );
 
-//! One call with a whole answer.
+//! Sends one request and reads the complete answer.
 coursehead::http::Outcome call( const std::string& url, const std::string& method,
                                 const std::string& path, const std::string& body = {},
                                 const coursehead::http::Headers& headers = {},
                                 int readSeconds = 40 );
-//! A chat completion's body.
+//! The request body of a chat completion.
 std::string chatBody( const std::string& model, const std::string& prompt, int tokens,
                       bool stream = true );
-//! The text that the engine stand-in gives for that body.
+//! The text that the engine stand-in generates for such a body.
 std::string expectedText( const std::string& model, const std::string& prompt, int tokens );
-//! Sends a streaming request; `onText` may stop it by returning false.
+//! Sends a streaming request; the stream is closed when `onText` returns false.
 Streamed streamCall( const std::string& url, const std::string& body,
                      const coursehead::http::Headers& headers = {},
                      const std::function<bool( const Streamed& )>& onText = {} );
-//! Follows a session.
+//! Resumes a session after the event with this id.
 Streamed resumeCall( const std::string& url, const std::string& session,
                      const std::string& lastEventId );
 
-//! The three lines that most tests configure.
+//! The operator commands for the configuration that most tests use.
 std::string usualConfig( bool checksOrders = true, int latenessMs = 400 );
 
 } // namespace fleet
--- a/tests/support/limit_watch.hpp
+++ b/tests/support/limit_watch.hpp
@@ -11,54 +11,57 @@
 
 namespace coursehead::support {
 
-//! In any such window an upstream bears so much of what its limit allows, and so many requests on
-//! top.
+//! Bound on the requests that an upstream may receive within any window of this length:
+//! `limitWindowFactor` times the number that its limit allows, and `limitWindowExtraRequests`
+//! requests more.
 inline constexpr Millis limitWindow{ 4000 };
-inline constexpr double limitOver = 1.5;
-inline constexpr int limitSlack = 5;
+inline constexpr double limitWindowFactor = 1.5;
+inline constexpr int limitWindowExtraRequests = 5;
 
-//! An upstream's own count of what comes against the limit that it names.
+//! Counts the requests that an upstream receives, and compares them with the limit that it has
+//! announced.
 class LimitWatch {
 public:
-    //! `grace`: from the naming on until everybody has to keep to it.
+    //! `grace`: time after an announcement until all gateways have to keep to the limit.
     explicit LimitWatch( Millis grace ) : m_grace( grace ) {}
 
-    //! It names another limit from now on; nullopt: none any more.
+    //! The upstream announces another limit; nullopt: no limit any more.
     void name( std::optional<double> perS, MonoTime now ) {
         m_perS = perS;
-        m_since = now;
-        m_arrived.clear();
+        m_limitSetAt = now;
+        m_arrivals.clear();
     }
     std::optional<double> perS() const { return m_perS; }
 
-    //! A request came. By how many that is too much in the window that ends now.
+    //! Counts a request; returns by how many the window that ends now exceeds the bound.
     int arrived( MonoTime now ) {
-        if( !m_perS || now - m_since < m_grace ) {
+        if( !m_perS || now - m_limitSetAt < m_grace ) {
             return 0;
         }
-        m_arrived.push_back( now );
-        while( now - m_arrived.front() > limitWindow ) {
-            m_arrived.pop_front();
+        m_arrivals.push_back( now );
+        while( now - m_arrivals.front() > limitWindow ) {
+            m_arrivals.pop_front();
         }
-        const auto count = static_cast<int>( m_arrived.size() );
-        m_most = std::max( m_most, count );
+        const auto count = static_cast<int>( m_arrivals.size() );
+        m_mostInWindow = std::max( m_mostInWindow, count );
         return std::max( count - allowed(), 0 );
     }
 
+    //! Requests that the bound allows in one window.
     int allowed() const {
         const double seconds = std::chrono::duration<double>( limitWindow ).count();
-        return static_cast<int>(
-            std::floor( limitOver * m_perS.value_or( 0 ) * seconds + limitSlack ) );
+        return static_cast<int>( std::floor( limitWindowFactor * m_perS.value_or( 0 ) * seconds +
+                                             limitWindowExtraRequests ) );
     }
-    //! The most that came in one window.
-    int most() const { return m_most; }
+    //! The highest number of requests counted in one window.
+    int most() const { return m_mostInWindow; }
 
 private:
     Millis m_grace;
     std::optional<double> m_perS;
-    MonoTime m_since;
-    std::deque<MonoTime> m_arrived;
-    int m_most = 0;
+    MonoTime m_limitSetAt;
+    std::deque<MonoTime> m_arrivals;
+    int m_mostInWindow = 0;
 };
 
 } // namespace coursehead::support
--- a/tests/support/object_store.cpp
+++ b/tests/support/object_store.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::size_t pageSize = 50;
-constexpr std::size_t keptEvents = 2000;
+constexpr std::size_t maxStoredEvents = 2000;
 constexpr unsigned statusCreated = 201;
 constexpr unsigned statusNotFound = 404;
 constexpr unsigned statusConflict = 409;
@@ -34,7 +34,7 @@
 
 } // namespace
 
-//! A call's target, taken apart.
+//! A request's method and the parts of its target.
 struct ObjectStore::Call {
     std::string method;
     std::string kind;
@@ -62,22 +62,22 @@
 
 ObjectStore::ObjectStore( net::asio::io_context& context, int port )
     : m_context( context ), m_acceptor( net::listen( context, "127.0.0.1", port ) ),
-      m_port( m_acceptor.local_endpoint().port() ), m_changed( context ) {
-    m_changed.expires_at( MonoTime::max() );
+      m_port( m_acceptor.local_endpoint().port() ), m_changeSignal( context ) {
+    m_changeSignal.expires_at( MonoTime::max() );
     auto task = accept();
     net::asio::co_spawn( context, std::move( task ), net::asio::detached );
 }
 
-void ObjectStore::note( const std::string& kind, Json object, bool gone ) {
-    m_events.push_back( { m_revision, kind, std::move( object ), gone } );
-    if( m_events.size() > keptEvents ) {
-        m_oldest = m_events.front().revision;
+void ObjectStore::recordEvent( const std::string& kind, Json object, bool removed ) {
+    m_events.push_back( { m_revision, kind, std::move( object ), removed } );
+    if( m_events.size() > maxStoredEvents ) {
+        m_oldestWatchable = m_events.front().revision;
         m_events.pop_front();
     }
-    m_changed.cancel();
+    m_changeSignal.cancel();
 }
 
-void ObjectStore::store( const std::string& kind, const std::string& name, Json object ) {
+void ObjectStore::writeObject( const std::string& kind, const std::string& name, Json object ) {
     ++m_revision;
     auto& metadata = object["metadata"];
     metadata["name"] = name;
@@ -86,7 +86,7 @@
         metadata["created"] = m_revision;
     }
     m_objects[kind][name] = object;
-    note( kind, std::move( object ), false );
+    recordEvent( kind, std::move( object ), false );
 }
 
 void ObjectStore::put( const std::string& kind, const std::string& name, Json specification ) {
@@ -96,7 +96,7 @@
         return;
     }
     object["specification"] = std::move( specification );
-    store( kind, name, std::move( object ) );
+    writeObject( kind, name, std::move( object ) );
 }
 
 void ObjectStore::remove( const std::string& kind, const std::string& name ) {
@@ -107,7 +107,7 @@
     ++m_revision;
     auto object = std::move( it->second );
     m_objects[kind].erase( it );
-    note( kind, std::move( object ), true );
+    recordEvent( kind, std::move( object ), true );
 }
 
 void ObjectStore::keepCopy() {
@@ -118,20 +118,20 @@
     m_objects = m_copy.objects;
     m_revision = m_copy.revision;
     std::erase_if( m_events, [this]( const auto& it ) { return it.revision > m_revision; } );
-    m_oldest = std::min( m_oldest, m_revision );
+    m_oldestWatchable = std::min( m_oldestWatchable, m_revision );
     ++m_era;
-    m_changed.cancel();
+    m_changeSignal.cancel();
 }
 
 void ObjectStore::setMode( StoreMode mode ) {
     m_mode = mode;
-    m_changed.cancel();
+    m_changeSignal.cancel();
 }
 
 void ObjectStore::cut( int nextCalls ) {
-    ++m_cuts;
-    m_cutNext = nextCalls;
-    m_changed.cancel();
+    ++m_cutCount;
+    m_callsToCut = nextCalls;
+    m_changeSignal.cancel();
 }
 
 net::Task<> ObjectStore::accept() {
@@ -154,24 +154,24 @@
             co_return;
         }
         ++m_calls;
-        m_oldLists +=
+        m_staleListCalls +=
             request.target().find( "isStale=1" ) != boost::beast::string_view::npos ? 1 : 0;
         if( m_delay.count() > 0 ) {
             co_await net::pause( m_context, m_delay );
         }
         const bool keepAlive = request.keep_alive();
-        if( m_cutNext > 0 ) {
-            --m_cutNext;
+        if( m_callsToCut > 0 ) {
+            --m_callsToCut;
             co_return;
         }
-        const auto cuts = m_cuts;
+        const auto cuts = m_cutCount;
         auto moved = std::move( request );
         auto got = co_await answer( std::move( moved ) );
-        if( m_mode == StoreMode::reset || m_cuts != cuts ) {
+        if( m_mode == StoreMode::reset || m_cutCount != cuts ) {
             co_return;
         }
         if( m_mode == StoreMode::silent ) {
-            // Says nothing more on this connection until the caller ends it.
+            // Keeps the connection open without an answer until the caller closes it.
             co_await http::async_read( socket, buf, request, net::tupled );
             co_return;
         }
@@ -218,7 +218,7 @@
                                                    Millis wait ) {
     const auto until = MonoClock::now() + wait;
     for( ;; ) {
-        if( from < m_oldest || from > m_revision ) {
+        if( from < m_oldestWatchable || from > m_revision ) {
             co_return Answer{ statusGone, Json::object() };
         }
         auto got = events( kind, from );
@@ -226,10 +226,10 @@
         if( !got.body["events"].empty() || over ) {
             co_return got;
         }
-        // Shared: the handler of a change may run when this watch has ended.
+        // Shared ownership: the handler on m_changeSignal may run after this watch has ended.
         const auto timer = std::make_shared<net::Timer>( m_context );
         timer->expires_at( until );
-        m_changed.async_wait( [timer]( net::ErrorCode ) { timer->cancel(); } );
+        m_changeSignal.async_wait( [timer]( net::ErrorCode ) { timer->cancel(); } );
         co_await timer->async_wait( net::tupled );
     }
 }
@@ -238,7 +238,7 @@
     Json out = Json::array();
     for( const auto& it : m_events ) {
         if( it.revision > from && it.kind == kind ) {
-            out.push_back( { { "object", it.object }, { "isGone", it.gone } } );
+            out.push_back( { { "object", it.object }, { "isGone", it.removed } } );
         }
     }
     return { 200, { { "events", std::move( out ) }, { "timestamp", m_revision } } };
@@ -276,23 +276,26 @@
         if( it != objects.end() ) {
             return { statusConflict, it->second };
         }
-        store( call.kind, name,
-               { { "specification", given.value( "specification", Json() ) },
-                 { "status", given.value( "status", Json() ) } } );
+        writeObject( call.kind, name,
+                     { { "specification", given.value( "specification", Json() ) },
+                       { "status", given.value( "status", Json() ) } } );
         return { statusCreated, objects[name] };
     }
     if( it == objects.end() ) {
         return { statusNotFound, Json::object() };
     }
-    return change( call, given, it->second );
+    return update( call, given, it->second );
 }
 
-ObjectStore::Answer ObjectStore::change( const Call& call, const Json& given, Json object ) {
-    const auto wanted = given.value( "metadata", Json::object() ).value( "revision", Json() );
-    const auto query = queryValue( call.query, "revision" );
-    const auto held = object["metadata"]["revision"].get<std::uint64_t>();
-    const bool differs = ( wanted.is_number() && wanted.get<std::uint64_t>() != held ) ||
-                         ( !query.empty() && query != std::to_string( held ) );
+ObjectStore::Answer ObjectStore::update( const Call& call, const Json& given, Json object ) {
+    const auto expectedRevision =
+        given.value( "metadata", Json::object() ).value( "revision", Json() );
+    const auto queryRevision = queryValue( call.query, "revision" );
+    const auto currentRevision = object["metadata"]["revision"].get<std::uint64_t>();
+    const bool differs =
+        ( expectedRevision.is_number() &&
+          expectedRevision.get<std::uint64_t>() != currentRevision ) ||
+        ( !queryRevision.empty() && queryRevision != std::to_string( currentRevision ) );
     if( differs ) {
         return { statusConflict, object };
     }
@@ -303,7 +306,7 @@
     const char* part = call.status ? "status" : "specification";
     if( object.value( part, Json() ) != given.value( part, Json() ) ) {
         object[part] = given.value( part, Json() );
-        store( call.kind, call.name, object );
+        writeObject( call.kind, call.name, object );
     }
     return { 200, m_objects[call.kind][call.name] };
 }
--- a/tests/support/object_store.hpp
+++ b/tests/support/object_store.hpp
@@ -18,41 +18,41 @@
 
 namespace http = boost::beast::http;
 
-//! How the store treats its callers.
+//! How the store answers calls.
 enum class StoreMode {
     up,
-    silent, //!< takes calls and answers nothing
+    silent, //!< accepts calls and never answers
     busy,   //!< answers 503
     reset,  //!< closes the connection
 };
 
-//! The platform's object store on loopback, as its published protocol says: lists with pages,
-//! watches, conditional writes; with faults at run time.
+//! Stand-in for the platform's object store on loopback. Implements the published protocol (paged
+//! lists, watches, conditional writes) and can be made to fail at run time.
 class ObjectStore {
 public:
-    //! Port 0 takes a free one.
+    //! Listens on `port`; 0 chooses a free port.
     explicit ObjectStore( net::asio::io_context& context, int port = 0 );
 
     int port() const { return m_port; }
     std::uint64_t revision() const { return m_revision; }
-    //! Calls taken so far, watches included.
+    //! Calls received so far, watches included.
     std::uint64_t calls() const { return m_calls; }
-    //! Of these, lists that may be seconds old: a tenth of the price.
-    std::uint64_t oldLists() const { return m_oldLists; }
+    //! Those of the calls that accept a list some seconds old; the store charges a tenth for these.
+    std::uint64_t oldLists() const { return m_staleListCalls; }
 
     void put( const std::string& kind, const std::string& name, nlohmann::json specification );
     void remove( const std::string& kind, const std::string& name );
-    //! Watches from before now get 410.
-    void forgetHistory() { m_oldest = m_revision; }
-    //! Keeps a copy of all that it holds now.
+    //! Answers 410 to watches that start from an earlier revision.
+    void forgetHistory() { m_oldestWatchable = m_revision; }
+    //! Saves a copy of all current objects.
     void keepCopy();
-    //! Comes back from the copy: what was written since is gone, revisions are given out again, and
-    //! a new era begins.
+    //! Restores the saved copy: writes since then are lost, their revisions are assigned again, and
+    //! a new era starts.
     void restoreCopy();
     std::uint64_t era() const { return m_era; }
     void setMode( StoreMode mode );
     void setDelay( Millis delay ) { m_delay = delay; }
-    //! Cuts the watches that wait, and the next calls.
+    //! Closes the connections of all waiting watches and of the next `nextCalls` calls, unanswered.
     void cut( int nextCalls );
 
 private:
@@ -65,7 +65,7 @@
         std::uint64_t revision = 0;
         std::string kind;
         nlohmann::json object;
-        bool gone = false;
+        bool removed = false;
     };
     struct Call;
 
@@ -75,10 +75,10 @@
     net::Task<Answer> watch( std::string kind, std::uint64_t from, Millis wait );
     Answer list( const std::string& kind, const std::string& after ) const;
     Answer write( const Call& call, const std::string& body );
-    Answer change( const Call& call, const nlohmann::json& given, nlohmann::json object );
+    Answer update( const Call& call, const nlohmann::json& given, nlohmann::json object );
     Answer events( const std::string& kind, std::uint64_t from ) const;
-    void store( const std::string& kind, const std::string& name, nlohmann::json object );
-    void note( const std::string& kind, nlohmann::json object, bool gone );
+    void writeObject( const std::string& kind, const std::string& name, nlohmann::json object );
+    void recordEvent( const std::string& kind, nlohmann::json object, bool removed );
 
     net::asio::io_context& m_context;
     net::Acceptor m_acceptor;
@@ -92,14 +92,14 @@
     Copy m_copy;
     std::uint64_t m_era = 1;
     std::uint64_t m_revision = 1;
-    std::uint64_t m_oldest = 1;
+    std::uint64_t m_oldestWatchable = 1;
     std::uint64_t m_calls = 0;
-    std::uint64_t m_oldLists = 0;
-    std::uint64_t m_cuts = 0;
-    int m_cutNext = 0;
+    std::uint64_t m_staleListCalls = 0;
+    std::uint64_t m_cutCount = 0;
+    int m_callsToCut = 0;
     StoreMode m_mode = StoreMode::up;
     Millis m_delay{ 0 };
-    net::Timer m_changed; //!< cancelled at each change, to wake watches
+    net::Timer m_changeSignal; //!< cancelled on each change to wake the waiting watches
 };
 
 } // namespace coursehead::support
--- a/tests/support/run_until.hpp
+++ b/tests/support/run_until.hpp
@@ -8,13 +8,13 @@
 
 namespace coursehead::support {
 
-//! Long enough for whatever should happen on loopback, on a busy machine too.
-inline constexpr Millis loopPatience{ 10000 };
+//! Upper bound on any expected event on loopback, under heavy load too.
+inline constexpr Millis runUntilTimeout{ 10000 };
 
-//! Runs a loop until a condition holds; false when it does not within that time.
+//! Runs the event loop until the condition holds; false when it does not within runUntilTimeout.
 inline bool runUntil( net::asio::io_context& context, const std::function<bool()>& condition ) {
     constexpr Millis step{ 10 };
-    const auto limit = MonoClock::now() + loopPatience;
+    const auto limit = MonoClock::now() + runUntilTimeout;
     while( !condition() ) {
         if( MonoClock::now() > limit ) {
             return false;
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -28,18 +28,20 @@
 using soak::Record;
 using soak::SoakOptions;
 
-inline constexpr int tries = 10;
-inline constexpr Millis limit{ 60000 };
+inline constexpr int repeatCount = 10;
+inline constexpr Millis scenarioTimeout{ 60000 };
 inline constexpr Millis look{ 50 };
 
-//! How many processes there are.
+//! Number of processes of each kind.
 struct WorldSize {
     int gateways = 3;
     int engines = 6;
     int services = 3;
 };
 
-//! Three gateways before six engines and three plain upstreams, all real but for the upstreams.
+//! A deployment of real gateways and sidecars in front of simulated engines and plain upstreams, by
+//! default three gateways, six engines and three plain upstreams; with a client that sends
+//! requests.
 struct World {
     net::asio::io_context context{ 1 };
     Record record;
@@ -48,8 +50,8 @@
                          ( "coursehead-world-" + std::to_string( ::getpid() ) );
     std::unique_ptr<Deployment> deployment;
     int sent = 0;
-    bool samePrompts = true; //!< prompts share their first part, and so prefer one engine
-    bool oneGateway = false; //!< all is asked of the first
+    bool samePrompts = true; //!< prompts share their prefix, so that gateways prefer one engine
+    bool oneGateway = false; //!< all requests go to the first gateway
     bool finished = false;
 
     explicit World( WorldSize size = {} ) {
@@ -67,7 +69,7 @@
         std::filesystem::remove_all( folder );
     }
 
-    net::Task<> tend() {
+    net::Task<> pollDeployment() {
         for( ;; ) {
             deployment->look();
             co_await net::pause( context, look );
@@ -93,11 +95,13 @@
         }
     }
 
-    //! One request to the next gateway in turn; the status, 0 when the connection was cut.
+    //! Sends one request to the next gateway in turn; returns the status, or 0 when the connection
+    //! was cut.
     net::Task<unsigned> ask( std::string method, std::string path, std::string body ) {
         auto& gateways = deployment->gateways();
-        const auto turn = oneGateway ? 0 : static_cast<std::size_t>( sent ) % gateways.size();
-        auto& gateway = *gateways[turn];
+        const auto gatewayIndex =
+            oneGateway ? 0 : static_cast<std::size_t>( sent ) % gateways.size();
+        auto& gateway = *gateways[gatewayIndex];
         const auto id = "r" + std::to_string( ++sent );
         record.asked( id, path.starts_with( "/safe" ) ? Kind::safe : Kind::stream );
         net::Socket socket( context );
@@ -114,12 +118,12 @@
         co_await net::asio::async_write( socket, bytes, net::tupled );
         boost::beast::flat_buffer buf;
         boost::beast::http::response<boost::beast::http::string_body> response;
-        const auto [cut, n] =
+        const auto [readError, n] =
             co_await boost::beast::http::async_read( socket, buf, response, net::tupled );
-        co_return cut ? 0 : response.result_int();
+        co_return readError ? 0 : response.result_int();
     }
 
-    //! One plain request that may be repeated.
+    //! Sends one plain request that is safe to repeat.
     net::Task<unsigned> askPlain() {
         std::string method = "GET";
         std::string path = "/safe/a" + std::to_string( sent );
@@ -127,7 +131,7 @@
         co_return co_await ask( std::move( method ), std::move( path ), std::move( body ) );
     }
 
-    //! One stream.
+    //! Sends one streaming request.
     net::Task<unsigned> askStream() {
         std::string method = "POST";
         std::string path = "/stream/a";
@@ -135,7 +139,7 @@
         co_return co_await ask( std::move( method ), std::move( path ), std::move( body ) );
     }
 
-    //! All engines, or all plain upstreams.
+    //! Runners of all engines, or of all plain upstreams.
     std::vector<soak::Runner*> runners( bool engines ) {
         std::vector<soak::Runner*> out;
         for( auto& it : deployment->upstreams() ) {
@@ -146,7 +150,8 @@
         return out;
     }
 
-    //! Asks for streams, one after the other, of all gateways in turn; how many were served.
+    //! Sends streaming requests one after the other, to the gateways in turn; returns how many were
+    //! served.
     net::Task<int> askStreams( int count ) {
         int served = 0;
         for( int n = 0; n < count; ++n ) {
@@ -157,7 +162,7 @@
     }
 
     net::Task<> askAgainAndAgain( std::string method, std::string path, std::string body ) {
-        for( int n = 0; n < tries; ++n ) {
+        for( int n = 0; n < repeatCount; ++n ) {
             co_await waitUntilSettled();
             std::string m = method;
             std::string p = path;
@@ -184,14 +189,14 @@
     void play( Play scenario ) {
         auto all = [this, scenario]() -> net::Task<> {
             deployment->start();
-            net::start( context, tend(), "tend" );
+            net::start( context, pollDeployment(), "tend" );
             co_await waitUntilSettled();
             co_await scenario();
             finished = true;
             context.stop();
         };
         net::asio::co_spawn( context, all, net::asio::detached );
-        context.run_for( limit );
+        context.run_for( scenarioTimeout );
         REQUIRE( finished );
     }
 };
--- a/tests/unit/announcement.tests.cpp
+++ b/tests/unit/announcement.tests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-//! What a refusal with these Retry-After headers says.
+//! The parsed head of a refusal with these Retry-After headers.
 platform::AnswerHead refusal( std::initializer_list<const char*> backoffs, unsigned status = 503,
                               bool ran = false ) {
     fields head;
@@ -28,7 +28,7 @@
 
 constexpr MonoTime start{ 1000s };
 
-Announcement asking( Millis backoff ) {
+Announcement backoffAnnouncement( Millis backoff ) {
     Announcement out;
     out.backoff = backoff;
     return out;
@@ -85,7 +85,7 @@
 
 namespace {
 
-platform::AnswerHead limited( std::initializer_list<const char*> limits ) {
+platform::AnswerHead headWithLimits( std::initializer_list<const char*> limits ) {
     fields head;
     for( const auto* it : limits ) {
         head.insert( "Server-Limit", it );
@@ -98,9 +98,9 @@
 TEST_CASE( "A limit is read in requests a second, the lowest of several",
            "[announcement][limit][platform]" ) {
     const auto perS = []( std::initializer_list<const char*> limits ) {
-        const auto said = limited( limits ).announcement;
-        CHECK( said.limit == LimitAnnouncement::named );
-        return said.limitPerS;
+        const auto announced = headWithLimits( limits ).announcement;
+        CHECK( announced.limit == LimitAnnouncement::named );
+        return announced.limitPerS;
     };
     CHECK( perS( { "1.4" } ) == 1.4 );
     CHECK( perS( { "0" } ) == 0 );
@@ -109,44 +109,45 @@
     CHECK( perS( { "3", "1.5", "2" } ) == 1.5 );
     CHECK( perS( { "many", "2" } ) == 2 );
     CHECK( perS( { "2", "many" } ) == 2 );
-    CHECK( limited( {} ).announcement.limit == LimitAnnouncement::none );
+    CHECK( headWithLimits( {} ).announcement.limit == LimitAnnouncement::none );
 }
 
 TEST_CASE( "A limit that can't be read is none that is named, and none that has ended",
            "[announcement][limit][platform]" ) {
     for( const auto* it : { "-1", "few", "", "nan", "inf", "1.4 a second", "0x3", "1e999" } ) {
         INFO( it );
-        const auto head = limited( { it } );
+        const auto head = headWithLimits( { it } );
         CHECK( head.announcement.limit == LimitAnnouncement::unreadable );
         CHECK( head.badField == std::string( "Server-Limit: " ) + it );
     }
 }
 
 TEST_CASE( "A limit holds until an answer to a later request names none", "[limit]" ) {
-    UpstreamLimit known;
-    CHECK_FALSE( known.perS() );
-    CHECK_FALSE( known.noteNone( start, start + 4s ) );
-    CHECK( known.noteNamed( 1.4, start + 1s ) );
-    CHECK( known.perS() == 1.4 );
-    // An answer to a request that was sent before: it may have crossed.
-    CHECK_FALSE( known.noteNone( start + 900ms, start + 4s ) );
-    CHECK( known.perS() == 1.4 );
-    CHECK_FALSE( known.noteNamed( 1.4, start + 2s ) );
-    CHECK_FALSE( known.noteNone( start + 1500ms, start + 4s ) );
-    CHECK( known.noteNone( start + 2500ms, start + 4s ) );
-    CHECK_FALSE( known.perS() );
-    CHECK( known.noteNamed( 0.7, start + 3s ) );
-    CHECK( known.perS() == 0.7 );
+    UpstreamLimit upstreamLimit;
+    CHECK_FALSE( upstreamLimit.perS() );
+    CHECK_FALSE( upstreamLimit.noteNone( start, start + 4s ) );
+    CHECK( upstreamLimit.noteNamed( 1.4, start + 1s ) );
+    CHECK( upstreamLimit.perS() == 1.4 );
+    // This answer is to a request sent before the limit was named; it may have crossed the answer
+    // that named the limit.
+    CHECK_FALSE( upstreamLimit.noteNone( start + 900ms, start + 4s ) );
+    CHECK( upstreamLimit.perS() == 1.4 );
+    CHECK_FALSE( upstreamLimit.noteNamed( 1.4, start + 2s ) );
+    CHECK_FALSE( upstreamLimit.noteNone( start + 1500ms, start + 4s ) );
+    CHECK( upstreamLimit.noteNone( start + 2500ms, start + 4s ) );
+    CHECK_FALSE( upstreamLimit.perS() );
+    CHECK( upstreamLimit.noteNamed( 0.7, start + 3s ) );
+    CHECK( upstreamLimit.perS() == 0.7 );
 }
 
 TEST_CASE( "Of two limits the one that was named later holds, higher or lower", "[limit]" ) {
-    UpstreamLimit known;
-    known.noteNamed( 2, start );
-    CHECK( known.noteNamed( 0.5, start + 1s ) );
-    CHECK( known.perS() == 0.5 );
-    CHECK( known.noteNamed( 3, start + 2s ) );
-    CHECK_FALSE( known.noteNamed( 9, start + 1s ) );
-    CHECK( known.perS() == 3. );
+    UpstreamLimit upstreamLimit;
+    upstreamLimit.noteNamed( 2, start );
+    CHECK( upstreamLimit.noteNamed( 0.5, start + 1s ) );
+    CHECK( upstreamLimit.perS() == 0.5 );
+    CHECK( upstreamLimit.noteNamed( 3, start + 2s ) );
+    CHECK_FALSE( upstreamLimit.noteNamed( 9, start + 1s ) );
+    CHECK( upstreamLimit.perS() == 3. );
 }
 
 TEST_CASE( "An upstream that leaves says so in answers of any kind", "[announcement][platform]" ) {
@@ -161,49 +162,49 @@
 
 TEST_CASE( "A back-off lasts until its end, whatever answers that crossed it say",
            "[announcement]" ) {
-    AnnouncedState known;
-    CHECK( known.backoffLeft( start ) == 0ms );
-    known.take( asking( 3000ms ), start );
-    CHECK( known.backoffLeft( start + 1s ) == 2000ms );
-    known.take( asking( 1000ms ), start + 1s );
-    known.take( asking( 0ms ), start + 1s );
-    known.take( {}, start + 1s );
-    CHECK( known.backoffLeft( start + 1s ) == 2000ms );
-    CHECK( known.backoffLeft( start + 3s ) == 0ms );
-    known.take( asking( 3000ms ), start + 2s );
-    CHECK( known.backoffLeft( start + 3s ) == 2000ms );
+    AnnouncedState state;
+    CHECK( state.backoffLeft( start ) == 0ms );
+    state.take( backoffAnnouncement( 3000ms ), start );
+    CHECK( state.backoffLeft( start + 1s ) == 2000ms );
+    state.take( backoffAnnouncement( 1000ms ), start + 1s );
+    state.take( backoffAnnouncement( 0ms ), start + 1s );
+    state.take( {}, start + 1s );
+    CHECK( state.backoffLeft( start + 1s ) == 2000ms );
+    CHECK( state.backoffLeft( start + 3s ) == 0ms );
+    state.take( backoffAnnouncement( 3000ms ), start + 2s );
+    CHECK( state.backoffLeft( start + 3s ) == 2000ms );
 }
 
 TEST_CASE( "Time that the VM was suspended counts as time of a back-off", "[announcement]" ) {
-    AnnouncedState known;
-    known.take( asking( 3000ms ), start );
-    CHECK( known.backoffLeft( start + 30s ) == 0ms );
+    AnnouncedState state;
+    state.take( backoffAnnouncement( 3000ms ), start );
+    CHECK( state.backoffLeft( start + 30s ) == 0ms );
 }
 
-TEST_CASE( "What has said that it leaves does not stay", "[announcement]" ) {
-    AnnouncedState known;
-    Announcement leaves;
-    leaves.leaving = true;
-    known.take( leaves, start );
-    known.take( {}, start + 1h );
-    CHECK( known.leaving() );
+TEST_CASE( "An upstream that has announced that it leaves does not stay", "[announcement]" ) {
+    AnnouncedState state;
+    Announcement departure;
+    departure.leaving = true;
+    state.take( departure, start );
+    state.take( {}, start + 1h );
+    CHECK( state.leaving() );
 }
 
 TEST_CASE( "Behind a back-off a gateway begins with half of its share and adds one for each served",
            "[announcement]" ) {
-    SlowStart starts;
-    CHECK( starts.admits( 1000 ) );
+    SlowStart slowStart;
+    CHECK( slowStart.admits( 1000 ) );
     constexpr int slots = 12;
-    starts.begin( slots, 3 );
-    CHECK( starts.admits( 1 ) );
-    CHECK_FALSE( starts.admits( 2 ) );
-    starts.noteServed();
-    CHECK( starts.admits( 2 ) );
-    CHECK_FALSE( starts.admits( 3 ) );
+    slowStart.begin( slots, 3 );
+    CHECK( slowStart.admits( 1 ) );
+    CHECK_FALSE( slowStart.admits( 2 ) );
+    slowStart.noteServed();
+    CHECK( slowStart.admits( 2 ) );
+    CHECK_FALSE( slowStart.admits( 3 ) );
     for( int n = 0; n < slots; ++n ) {
-        starts.noteServed();
+        slowStart.noteServed();
     }
-    CHECK( starts.admits( 1000 ) );
+    CHECK( slowStart.admits( 1000 ) );
 }
 
 TEST_CASE( "Behind a back-off one request is let through whatever the sizes are",
@@ -211,9 +212,9 @@
     for( const int slots : { -1, 0, 1, 6 } ) {
         for( const int gateways : { -1, 0, 1, 400 } ) {
             INFO( slots << " slots, " << gateways << " gateways" );
-            SlowStart starts;
-            starts.begin( slots, gateways );
-            CHECK( starts.admits( 0 ) );
+            SlowStart slowStart;
+            slowStart.begin( slots, gateways );
+            CHECK( slowStart.admits( 0 ) );
         }
     }
 }
--- a/tests/unit/gateway_count.tests.cpp
+++ b/tests/unit/gateway_count.tests.cpp
@@ -4,16 +4,12 @@
 
 #include <catch2/catch.hpp>
 
-// Gateways share the weight store's rate by their number, as sidecars tell it: those connected.
-// Four gateways connect to a sidecar that has just started within milliseconds of each other, and
-// the first is told that there is one:
-//
-//     32.184 side-sala-b-12 event=gateway_connected gateway=front-sala-b-1
-//     32.185 side-sala-b-12 event=gateway_connected gateway=front-sala-c-1
-//     32.193 side-sala-b-12 event=order kind=load model=hupu164a75
-//
-// Until the next report it used the rate of all four. While engines were replaced one after the
-// other twelve loads began within five seconds, and eleven may.
+// Guards against gateways that load too many models from the weight store at once. Gateways divide
+// the store's rate by the number of gateways that sidecars report as connected. Four gateways
+// connect to a sidecar that has just started within milliseconds of each other, and the sidecar
+// reports a single gateway to the first. That gateway then uses the rate of all four until the
+// next report: while engines were replaced one after the other, twelve loads started within five
+// seconds, where eleven are allowed.
 
 using namespace coursehead;
 using namespace coursehead::decide;
@@ -32,7 +28,7 @@
     constexpr Millis window{ 5000 };
     constexpr int gateways = 4;
     GatewayCount count( 8, hold );
-    int allowed = 0;
+    int grantedLoads = 0;
     gateway::StoreGrants grants( window );
     for( int n = 0; n < 10; ++n ) {
         const auto now = start + n * 400ms;
@@ -40,10 +36,10 @@
         count.note( 1, now + 1ms );
         const int share = gateway::storeShare( loadsPerS, window, count.count() );
         const auto model = "m" + std::to_string( n );
-        allowed += grants.take( "u", model, share, now + 2ms ) ? 1 : 0;
+        grantedLoads += grants.take( "u", model, share, now + 2ms ) ? 1 : 0;
     }
-    // Its part of 7.5 loads in a window.
-    CHECK( allowed == 1 );
+    // The share of one of four gateways in the 7.5 loads that a window allows.
+    CHECK( grantedLoads == 1 );
 }
 
 TEST_CASE( "The first word on how many gateways there are takes the place of what was assumed",
@@ -65,7 +61,7 @@
     count.note( 1, start + 4s );
     CHECK( count.count() == 5 );
     CHECK( count.note( 1, start + hold + 1ms ) );
-    // The most that was seen since, not the last.
+    // The highest count reported since then is used, not the last one.
     CHECK( count.count() == 3 );
 }
 
--- a/tests/unit/limit.tests.cpp
+++ b/tests/unit/limit.tests.cpp
@@ -16,17 +16,19 @@
 constexpr MonoTime start{ 1000s };
 const std::string name = "u1#7";
 
-LimitStatement statement( double perS, std::int64_t namedAgoMs = 0, std::int64_t noneAgoMs = -1 ) {
+LimitStatement limitStatement( double perS, std::int64_t namedAgoMs = 0,
+                               std::int64_t noneAgoMs = -1 ) {
     return { name, perS, namedAgoMs, noneAgoMs };
 }
 
-LimitUpdate news( const std::string& gateway, int gateways, const LimitStatement& said ) {
-    return { gateway, gateways, { said } };
+LimitUpdate limitUpdate( const std::string& gateway, int gateways,
+                         const LimitStatement& statement ) {
+    return { gateway, gateways, { statement } };
 }
 
-LimitVerdict ask( LimitHolder& holder, const std::string& gateway, const LimitStatement& said,
-                  MonoTime now ) {
-    return holder.ask( gateway, { 1, said }, now ).verdict;
+LimitVerdict askHolder( LimitHolder& holder, const std::string& gateway,
+                        const LimitStatement& statement, MonoTime now ) {
+    return holder.ask( gateway, { 1, statement }, now ).verdict;
 }
 
 } // namespace
@@ -72,7 +74,7 @@
     for( int n = 0; n < gateways; ++n ) {
         all.emplace_back( static_cast<double>( n ) / gateways );
     }
-    // Nobody has sent for an hour: all would at once.
+    // No gateway has sent for an hour: without turns of their own all would send at once.
     int sent = 0;
     for( auto now = start + 1h; now < start + 1h + 4s; now += 20ms ) {
         for( auto& it : all ) {
@@ -90,17 +92,20 @@
     LimitHolder holder;
     constexpr int gateways = 5;
     for( int n = 0; n < gateways; ++n ) {
-        holder.takeUpdate( news( "g" + std::to_string( n ), gateways, statement( 1.5 ) ), start );
+        holder.takeUpdate(
+            limitUpdate( "g" + std::to_string( n ), gateways, limitStatement( 1.5 ) ), start );
     }
     int granted = 0;
     for( auto now = start; now < start + 20s; now += 50ms ) {
         for( int n = 0; n < gateways; ++n ) {
             const auto gateway = "g" + std::to_string( n );
             if( ( now - start ) % 400ms == 0ms ) {
-                holder.takeUpdate( news( gateway, gateways, statement( 1.5 ) ), now );
+                holder.takeUpdate( limitUpdate( gateway, gateways, limitStatement( 1.5 ) ), now );
             }
             granted +=
-                ask( holder, gateway, statement( 1.5 ), now ) == LimitVerdict::granted ? 1 : 0;
+                askHolder( holder, gateway, limitStatement( 1.5 ), now ) == LimitVerdict::granted
+                    ? 1
+                    : 0;
         }
     }
     CHECK( granted <= 33 );
@@ -112,9 +117,10 @@
     int granted = 0;
     for( auto now = start; now < start + 20s; now += 50ms ) {
         if( ( now - start ) % 400ms == 0ms ) {
-            holder.takeUpdate( news( "g1", 4, statement( 2 ) ), now );
+            holder.takeUpdate( limitUpdate( "g1", 4, limitStatement( 2 ) ), now );
         }
-        granted += ask( holder, "g1", statement( 2 ), now ) == LimitVerdict::granted ? 1 : 0;
+        granted +=
+            askHolder( holder, "g1", limitStatement( 2 ), now ) == LimitVerdict::granted ? 1 : 0;
     }
     CHECK( granted <= 12 );
     CHECK( granted >= 8 );
@@ -122,41 +128,42 @@
 
 TEST_CASE( "Without room a gateway is told when there may be some", "[limit]" ) {
     LimitHolder holder;
-    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
-    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::granted );
-    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::granted );
-    const auto answer = holder.ask( "g1", { 9, statement( 2 ) }, start + 100ms );
+    holder.takeUpdate( limitUpdate( "g1", 1, limitStatement( 2 ) ), start );
+    CHECK( askHolder( holder, "g1", limitStatement( 2 ), start ) == LimitVerdict::granted );
+    CHECK( askHolder( holder, "g1", limitStatement( 2 ), start ) == LimitVerdict::granted );
+    const auto answer = holder.ask( "g1", { 9, limitStatement( 2 ) }, start + 100ms );
     CHECK( answer.verdict == LimitVerdict::full );
     CHECK( answer.number == 9 );
     CHECK( answer.earliestWaitMs > 100 );
     CHECK( answer.earliestWaitMs <= 500 );
     CHECK( answer.waitMs >= answer.earliestWaitMs );
-    CHECK( holder.ask( "g1", { 10, statement( 2 ) }, start + 100ms ).waitMs > answer.waitMs );
+    CHECK( holder.ask( "g1", { 10, limitStatement( 2 ) }, start + 100ms ).waitMs > answer.waitMs );
     holder.acceptReturn( { name }, start + 100ms );
-    CHECK( ask( holder, "g1", statement( 2 ), start + 100ms ) == LimitVerdict::granted );
+    CHECK( askHolder( holder, "g1", limitStatement( 2 ), start + 100ms ) == LimitVerdict::granted );
 }
 
 TEST_CASE( "A gateway that has told a holder nothing is not counted there", "[limit]" ) {
     LimitHolder holder;
-    CHECK( ask( holder, "g1", statement( 2 ), start ) == LimitVerdict::unknown );
-    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
-    CHECK( ask( holder, "g2", statement( 2 ), start ) == LimitVerdict::unknown );
+    CHECK( askHolder( holder, "g1", limitStatement( 2 ), start ) == LimitVerdict::unknown );
+    holder.takeUpdate( limitUpdate( "g1", 1, limitStatement( 2 ) ), start );
+    CHECK( askHolder( holder, "g2", limitStatement( 2 ), start ) == LimitVerdict::unknown );
 }
 
 TEST_CASE( "The word that is newest decides, whoever brings it", "[limit]" ) {
     LimitHolder holder;
-    holder.takeUpdate( news( "g1", 2, statement( 2, 300 ) ), start );
+    holder.takeUpdate( limitUpdate( "g1", 2, limitStatement( 2, 300 ) ), start );
     REQUIRE( holder.takeChanges( start ).size() == 1 );
-    // Its request was sent before the limit was last named.
-    holder.takeUpdate( news( "g2", 2, statement( 2, 900, 500 ) ), start );
+    // The request whose answer names no limit was sent (500 ms ago) before the limit was last named
+    // (300 ms ago).
+    holder.takeUpdate( limitUpdate( "g2", 2, limitStatement( 2, 900, 500 ) ), start );
     CHECK( holder.takeChanges( start ).empty() );
-    CHECK( ask( holder, "g1", statement( 2, 300 ), start ) != LimitVerdict::ended );
-    holder.takeUpdate( news( "g2", 2, statement( 2, 900, 200 ) ), start );
+    CHECK( askHolder( holder, "g1", limitStatement( 2, 300 ), start ) != LimitVerdict::ended );
+    holder.takeUpdate( limitUpdate( "g2", 2, limitStatement( 2, 900, 200 ) ), start );
     const auto changes = holder.takeChanges( start );
     REQUIRE( changes.size() == 1 );
     CHECK( changes[0].noneAgoMs < changes[0].namedAgoMs );
-    CHECK( ask( holder, "g1", statement( 2, 300 ), start ) == LimitVerdict::ended );
-    holder.takeUpdate( news( "g1", 2, statement( 0.5, 0 ) ), start + 1s );
+    CHECK( askHolder( holder, "g1", limitStatement( 2, 300 ), start ) == LimitVerdict::ended );
+    holder.takeUpdate( limitUpdate( "g1", 2, limitStatement( 0.5, 0 ) ), start + 1s );
     const auto again = holder.takeChanges( start + 1s );
     REQUIRE( again.size() == 1 );
     CHECK( again[0].perS == 0.5 );
@@ -167,8 +174,9 @@
     LimitHolder holder;
     int granted = 0;
     for( auto now = start; now < start + 40s; now += 100ms ) {
-        holder.takeUpdate( news( "g1", 1, statement( 0 ) ), now );
-        granted += ask( holder, "g1", statement( 0 ), now ) == LimitVerdict::granted ? 1 : 0;
+        holder.takeUpdate( limitUpdate( "g1", 1, limitStatement( 0 ) ), now );
+        granted +=
+            askHolder( holder, "g1", limitStatement( 0 ), now ) == LimitVerdict::granted ? 1 : 0;
     }
     CHECK( granted >= 8 );
     CHECK( granted <= 12 );
@@ -176,7 +184,7 @@
 
 TEST_CASE( "A limit that nobody speaks of is forgotten", "[limit]" ) {
     LimitHolder holder;
-    holder.takeUpdate( news( "g1", 1, statement( 2 ) ), start );
+    holder.takeUpdate( limitUpdate( "g1", 1, limitStatement( 2 ) ), start );
     CHECK( holder.size() == 1 );
     holder.takeUpdate( { "g1", 1, {} }, start + 61s );
     CHECK( holder.size() == 0 );
@@ -186,9 +194,9 @@
     const bool holds = rc::check(
         []( double perS, std::int64_t namedAgoMs, std::int64_t noneAgoMs, int gateways ) {
             LimitHolder holder;
-            const LimitStatement said{ name, perS, namedAgoMs, noneAgoMs };
-            holder.takeUpdate( { "g1", gateways, { said } }, start );
-            const auto answer = holder.ask( "g1", { 1, said }, start );
+            const LimitStatement statement{ name, perS, namedAgoMs, noneAgoMs };
+            holder.takeUpdate( { "g1", gateways, { statement } }, start );
+            const auto answer = holder.ask( "g1", { 1, statement }, start );
             RC_ASSERT( answer.verdict != LimitVerdict::unknown );
             holder.takeChanges( start );
         } );
@@ -213,16 +221,16 @@
 TEST_CASE( "What a holder says is followed", "[limit]" ) {
     LimitState state;
     state.known.noteNamed( 1, start );
-    const auto follow = [&]( LimitVerdict verdict, std::int64_t waitMs ) {
+    const auto applyAnswer = [&]( LimitVerdict verdict, std::int64_t waitMs ) {
         return applyLimitAnswer( state, LimitAnswer{ 1, verdict, waitMs, waitMs }, 10, start,
                                  start );
     };
-    CHECK( follow( LimitVerdict::granted, 0 ).maySend() );
-    const auto full = follow( LimitVerdict::full, 700 );
+    CHECK( applyAnswer( LimitVerdict::granted, 0 ).maySend() );
+    const auto full = applyAnswer( LimitVerdict::full, 700 );
     CHECK_FALSE( full.maySend() );
     CHECK( full.wait == 700ms );
     CHECK( state.fullLeft( start ) == 700ms );
-    CHECK( follow( LimitVerdict::full, 90000 ).wait == 2000ms );
+    CHECK( applyAnswer( LimitVerdict::full, 90000 ).wait == 2000ms );
     CHECK( applyLimitAnswer( state, LimitAnswer{ 1, LimitVerdict::ended, 0, 0 }, 10, start + 1s,
                              start + 1s )
                .maySend() );
@@ -231,7 +239,7 @@
 
 namespace {
 
-//! Two engines of which one holds the model that is asked for.
+//! Two engines, one of which has the requested model in memory.
 struct TwoEngines {
     net::asio::io_context context{ 1 };
     RandomSource random{ 1 };
@@ -276,12 +284,12 @@
         gateway::Generation generation;
         generation.model = "m1";
         generation.promptTokens = 100;
-        gateway::RequestNeeds need;
-        need.service = "s";
-        need.generation = &generation;
-        return fleet.choose( need, {}, now );
+        gateway::RequestNeeds needs;
+        needs.service = "s";
+        needs.generation = &generation;
+        return fleet.choose( needs, {}, now );
     }
-    gateway::Node& holder() { return *fleet.nodes().at( "holds" ); }
+    gateway::Node& engineWithModel() { return *fleet.nodes().at( "holds" ); }
 };
 
 } // namespace
@@ -291,9 +299,9 @@
     TwoEngines f;
     REQUIRE( f.choose( start ).node );
     CHECK( f.choose( start ).node->upstream.id == "holds" );
-    f.holder().limit.known.noteNamed( 1, start );
+    f.engineWithModel().limit.known.noteNamed( 1, start );
     CHECK( f.choose( start ).node->upstream.id == "holds" );
-    f.holder().limit.fullUntil = start + 100ms;
+    f.engineWithModel().limit.fullUntil = start + 100ms;
     const auto choice = f.choose( start );
     REQUIRE( choice.node );
     CHECK( choice.node->upstream.id == "empty" );
@@ -303,9 +311,9 @@
 TEST_CASE( "A back-off that ends before a load elsewhere would is waited out by the client",
            "[limit][gateway][announcement]" ) {
     TwoEngines f;
-    Announcement asks;
-    asks.backoff = 500ms;
-    f.holder().hear( asks, 1, start );
+    Announcement announcement;
+    announcement.backoff = 500ms;
+    f.engineWithModel().hear( announcement, 1, start );
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
     CHECK( choice.unavailableFor == 500ms );
@@ -316,9 +324,9 @@
            "[limit][gateway]" ) {
     TwoEngines f;
     f.fleet.nodes().at( "empty" )->gone = true;
-    f.holder().limit.known.noteNamed( 1, start );
-    f.holder().limit.fullUntil = start + 100ms;
-    f.holder().limit.retryAt = start + 700ms;
+    f.engineWithModel().limit.known.noteNamed( 1, start );
+    f.engineWithModel().limit.fullUntil = start + 100ms;
+    f.engineWithModel().limit.retryAt = start + 700ms;
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
     CHECK( choice.atLimit );
--- a/tests/unit/reading_queue.tests.cpp
+++ b/tests/unit/reading_queue.tests.cpp
@@ -17,21 +17,23 @@
 
 const MonoTime now{ 1000s };
 constexpr Millis gapTarget = 600ms;
-//! What any gap target may give to reading, with a little for rounding.
-constexpr double mostReadingMs = 0.7 * 600 + 1;
+//! Upper bound on prompt reading within one gap target: its share of 0.7, and 1 ms for rounding.
+constexpr double maxReadingMs = 0.7 * 600 + 1;
 
-ReadingRequest prompt( std::uint64_t key, double workMs, Millis startBy ) {
+ReadingRequest readingRequest( std::uint64_t key, double workMs, Millis startBy ) {
     return { key, workMs, now + startBy };
 }
 
-//! Takes what is due as time passes in steps of a millisecond.
-struct Sent {
+//! A prompt that the queue released to the engine.
+struct SentPrompt {
     std::uint64_t key;
     MonoTime at;
     double workMs;
 };
-std::vector<Sent> drain( ReadingQueue& queue, MonoTime from, Millis length ) {
-    std::vector<Sent> out;
+
+//! Advances time in steps of 1 ms and collects the prompts that the queue releases.
+std::vector<SentPrompt> takeDuring( ReadingQueue& queue, MonoTime from, Millis length ) {
+    std::vector<SentPrompt> out;
     for( auto at = from; at < from + length; at += 1ms ) {
         while( const auto next = queue.takeNext( at ) ) {
             out.push_back( { next->key, at, next->workMs } );
@@ -40,13 +42,14 @@
     return out;
 }
 
-//! Reading within the window that begins with the n-th prompt, when each is read as it is sent.
-double readIn( const std::vector<Sent>& sent, std::size_t n, Millis window ) {
+//! Reading time in milliseconds within the window that starts when the n-th prompt is sent,
+//! provided that the engine starts to read each prompt when it is sent.
+double readingMsInWindow( const std::vector<SentPrompt>& sent, std::size_t n, Millis window ) {
     double out = 0;
     for( std::size_t m = n; m < sent.size() && sent[m].at < sent[n].at + window; ++m ) {
-        const auto left =
+        const auto remainingMs =
             std::chrono::duration<double, std::milli>( sent[n].at + window - sent[m].at ).count();
-        out += std::min( sent[m].workMs, left );
+        out += std::min( sent[m].workMs, remainingMs );
     }
     return out;
 }
@@ -62,7 +65,7 @@
     return out;
 }
 
-sidecar::PromptRequest ask( std::uint64_t key, gateway::PendingPrompt prompt ) {
+sidecar::PromptRequest promptRequest( std::uint64_t key, gateway::PendingPrompt prompt ) {
     return { key, "m", "", std::move( prompt ), now, 500ms };
 }
 
@@ -71,7 +74,7 @@
 TEST_CASE( "A prompt for an engine that reads nothing goes at once", "[admission][reading]" ) {
     ReadingQueue queue;
     queue.setGapTarget( gapTarget );
-    const auto verdict = queue.ask( prompt( 1, 240, 500ms ), now );
+    const auto verdict = queue.ask( readingRequest( 1, 240, 500ms ), now );
     CHECK( verdict.accepted );
     CHECK( verdict.wait == 0ms );
     CHECK( queue.takeNext( now )->key == 1 );
@@ -83,58 +86,60 @@
     rc::check( "reading within any gap target stays under its part", [] {
         ReadingQueue queue;
         queue.setGapTarget( gapTarget );
-        std::vector<Sent> sent;
+        std::vector<SentPrompt> sent;
         MonoTime at = now;
         const auto count = *rc::gen::inRange( 1, 60 );
         for( int n = 0; n < count; ++n ) {
             const auto workMs = static_cast<double>( *rc::gen::inRange( 1, 400 ) );
             const auto pause = Millis( *rc::gen::inRange( 0, 120 ) );
             queue.ask( { static_cast<std::uint64_t>( n ), workMs, at + 60s }, at );
-            const auto now = drain( queue, at, pause );
+            const auto now = takeDuring( queue, at, pause );
             sent.insert( sent.end(), now.begin(), now.end() );
             at += pause;
         }
-        const auto rest = drain( queue, at, 60s );
-        sent.insert( sent.end(), rest.begin(), rest.end() );
+        const auto remaining = takeDuring( queue, at, 60s );
+        sent.insert( sent.end(), remaining.begin(), remaining.end() );
         RC_ASSERT( sent.size() == static_cast<std::size_t>( count ) );
-        // A prompt is sent a little before the engine is free for it.
+        // The queue releases a prompt up to 15 ms before the engine is free, so the window is
+        // shorter by that.
         for( std::size_t n = 0; n < sent.size(); ++n ) {
-            RC_ASSERT( readIn( sent, n, gapTarget - 15ms ) <= mostReadingMs );
+            RC_ASSERT( readingMsInWindow( sent, n, gapTarget - 15ms ) <= maxReadingMs );
         }
     } );
 }
 
-TEST_CASE( "What can't be read in time is told so when it asks, with the time that it takes",
+TEST_CASE( "A prompt that can't be read in time is rejected when it asks, with the expected wait",
            "[admission][reading]" ) {
     ReadingQueue queue;
     queue.setGapTarget( gapTarget );
-    REQUIRE( queue.ask( prompt( 1, 400, 500ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 1, 400, 500ms ), now ).accepted );
     REQUIRE( queue.takeNext( now ) );
-    const auto verdict = queue.ask( prompt( 2, 240, 300ms ), now );
+    const auto verdict = queue.ask( readingRequest( 2, 240, 300ms ), now );
     CHECK_FALSE( verdict.accepted );
     CHECK( verdict.wait > 400ms );
     CHECK( queue.waiting() == 0 );
-    CHECK( queue.ask( prompt( 3, 240, verdict.wait ), now ).accepted );
+    CHECK( queue.ask( readingRequest( 3, 240, verdict.wait ), now ).accepted );
 }
 
 TEST_CASE( "A prompt with less time goes first, unless it makes an accepted one late",
            "[admission][reading]" ) {
     ReadingQueue queue;
-    REQUIRE( queue.ask( prompt( 1, 100, 900ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 1, 100, 900ms ), now ).accepted );
     REQUIRE( queue.takeNext( now )->key == 1 );
-    REQUIRE( queue.ask( prompt( 2, 100, 900ms ), now ).accepted );
-    REQUIRE( queue.ask( prompt( 3, 100, 300ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 2, 100, 900ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 3, 100, 300ms ), now ).accepted );
     CHECK( queue.takeNext( now + 100ms )->key == 3 );
-    REQUIRE( queue.ask( prompt( 4, 100, 250ms ), now + 100ms ).accepted );
-    // The one with 900 ms could still begin at 800 ms, but not behind 700 ms more.
-    CHECK_FALSE( queue.ask( prompt( 5, 700, 400ms ), now + 100ms ).accepted );
+    REQUIRE( queue.ask( readingRequest( 4, 100, 250ms ), now + 100ms ).accepted );
+    // Prompt 2 may start up to 800 ms from here; 700 ms more of reading ahead of it would make it
+    // late.
+    CHECK_FALSE( queue.ask( readingRequest( 5, 700, 400ms ), now + 100ms ).accepted );
 }
 
 TEST_CASE( "A prompt whose request has left makes room for the next", "[admission][reading]" ) {
     ReadingQueue queue;
-    REQUIRE( queue.ask( prompt( 1, 300, 500ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 1, 300, 500ms ), now ).accepted );
     REQUIRE( queue.takeNext( now ) );
-    REQUIRE( queue.ask( prompt( 2, 300, 500ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 2, 300, 500ms ), now ).accepted );
     queue.withdraw( 2, now );
     CHECK( queue.waiting() == 0 );
     CHECK( queue.waitFor( 100, now ) == 300ms );
@@ -145,7 +150,7 @@
 TEST_CASE( "An engine that is seen to read nothing is free, whatever was expected",
            "[admission][reading]" ) {
     ReadingQueue queue;
-    REQUIRE( queue.ask( prompt( 1, 300, 500ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 1, 300, 500ms ), now ).accepted );
     REQUIRE( queue.takeNext( now ) );
     queue.noteUnread( 0, now + 100ms );
     CHECK( queue.waitFor( 300, now + 100ms ) == 0ms );
@@ -155,12 +160,12 @@
            "[admission][reading]" ) {
     ReadingQueue queue;
     for( const auto key : { 1, 2, 3 } ) {
-        REQUIRE( queue.ask( prompt( key, 100, 900ms ), now ).accepted );
+        REQUIRE( queue.ask( readingRequest( key, 100, 900ms ), now ).accepted );
     }
-    REQUIRE( drain( queue, now, 250ms ).size() == 3 );
+    REQUIRE( takeDuring( queue, now, 250ms ).size() == 3 );
     const auto later = now + 320ms;
     CHECK( queue.waitFor( 100, later ) == 0ms );
-    // The second is being read, the third waits behind it.
+    // The engine is reading the second prompt; the third waits behind it.
     queue.noteUnread( 2, later );
     CHECK( queue.waitFor( 100, later ) == 150ms );
 }
@@ -168,16 +173,16 @@
 TEST_CASE( "A prompt that becomes late because the engine is slower than expected is told so",
            "[admission][reading]" ) {
     ReadingQueue queue;
-    REQUIRE( queue.ask( prompt( 1, 100, 500ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 1, 100, 500ms ), now ).accepted );
     REQUIRE( queue.takeNext( now ) );
-    REQUIRE( queue.ask( prompt( 2, 100, 150ms ), now ).accepted );
-    REQUIRE( queue.ask( prompt( 3, 100, 900ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 2, 100, 150ms ), now ).accepted );
+    REQUIRE( queue.ask( readingRequest( 3, 100, 900ms ), now ).accepted );
     CHECK( queue.takeExpired( now + 90ms ).empty() );
-    // The engine still has the first one, and is expected to need 50 ms more.
+    // The engine has not finished the first prompt, and is expected to need 50 ms more for it.
     queue.noteUnread( 1, now + 200ms );
-    const auto late = queue.takeExpired( now + 200ms );
-    REQUIRE( late.size() == 1 );
-    CHECK( late[0].key == 2 );
+    const auto expired = queue.takeExpired( now + 200ms );
+    REQUIRE( expired.size() == 1 );
+    CHECK( expired[0].key == 2 );
     CHECK( queue.waiting() == 1 );
 }
 
@@ -185,9 +190,9 @@
            "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, 0ms );
-    gate.ask( ask( 1, describePrompt( { { 1, 1000 } } ) ), now );
+    gate.ask( promptRequest( 1, describePrompt( { { 1, 1000 } } ) ), now );
     REQUIRE( gate.takeAdmitted( now ).size() == 1 );
-    auto second = ask( 2, describePrompt( { { 2, 1000 } } ) );
+    auto second = promptRequest( 2, describePrompt( { { 2, 1000 } } ) );
     second.prompt.goalMs = 110;
     second.prompt.late = true;
     second.limit = 2000ms;
@@ -209,7 +214,8 @@
     }
     CHECK_FALSE( pace.pauseWhileReading() );
     for( int n = 0; n < 40; ++n ) {
-        // A report in the middle of each pause, while prompts are read all the time.
+        // The second report falls into the middle of the pause; the engine reads prompts all the
+        // time.
         report( 20 + n, 800ms + n * 300ms, true );
         report( 20 + n, 950ms + n * 300ms, true );
     }
@@ -222,25 +228,25 @@
            "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, gapTarget );
-    gate.ask( ask( 1, describePrompt( { { 7, 1000 }, { 8, 100 } } ) ), now );
+    gate.ask( promptRequest( 1, describePrompt( { { 7, 1000 }, { 8, 100 } } ) ), now );
     const auto first = gate.takeAdmitted( now );
     REQUIRE( first.size() == 1 );
     CHECK( first[0].workMs == Approx( 110 ) );
-    gate.ask( ask( 2, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now );
+    gate.ask( promptRequest( 2, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now );
     const auto second = gate.takeAdmitted( now + 110ms );
     REQUIRE( second.size() == 1 );
     CHECK( second[0].workMs == Approx( 10 ) );
     gate.dropModel( "m" );
-    gate.ask( ask( 3, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now + 200ms );
+    gate.ask( promptRequest( 3, describePrompt( { { 7, 1000 }, { 9, 100 } } ) ), now + 200ms );
     CHECK( gate.takeAdmitted( now + 200ms ).at( 0 ).workMs == Approx( 110 ) );
 }
 
 TEST_CASE( "A prompt that may be late is queued where it can't be in time", "[admission][gate]" ) {
     sidecar::PromptGate gate;
     gate.setEngine( 100000, gapTarget );
-    gate.ask( ask( 1, describePrompt( { { 1, 4000 } } ) ), now );
+    gate.ask( promptRequest( 1, describePrompt( { { 1, 4000 } } ) ), now );
     REQUIRE( gate.takeAdmitted( now ).size() == 1 );
-    auto second = ask( 2, describePrompt( { { 2, 4000 } } ) );
+    auto second = promptRequest( 2, describePrompt( { { 2, 4000 } } ) );
     second.limit = 2000ms;
     CHECK_FALSE( gate.ask( second, now ).accepted );
     second.prompt.late = true;
--- a/tests/unit/store_copy.tests.cpp
+++ b/tests/unit/store_copy.tests.cpp
@@ -23,20 +23,20 @@
 
 constexpr MonoTime start{ 1000s };
 
-Upstream listed( const std::string& id, UpstreamState state, StorePosition created,
-                 StartTime born = 0 ) {
+Upstream makeUpstream( const std::string& id, UpstreamState state, StorePosition created,
+                       StartTime startTime = 0 ) {
     Upstream out;
     out.id = id;
     out.ip = "127.0.0.1";
     out.port = 80;
     out.state = state;
     out.created = created;
-    out.born = born;
+    out.born = startTime;
     return out;
 }
 
-//! A follower of one kind against a store on the same loop.
-struct Followed {
+//! A follower of one object kind, with an object store on the same event loop.
+struct FollowerFixture {
     net::asio::io_context context{ 1 };
     ObjectStore store{ context };
     RandomSource random{ 1 };
@@ -44,7 +44,7 @@
     int restorations = 0;
     std::unique_ptr<Follower> follower;
 
-    Followed() {
+    FollowerFixture() {
         FollowerHandlers handlers;
         handlers.listing = [this]( const auto& objects ) {
             names.clear();
@@ -108,39 +108,40 @@
 TEST_CASE( "A follower knows what the store holds after any course of writes and copies",
            "[store][property]" ) {
     rc::check( [] {
-        Followed f;
+        FollowerFixture f;
         auto task = f.follower->run();
         net::start( f.context, std::move( task ), "follower" );
-        std::set<std::string> truth;
-        std::set<std::string> copy;
+        std::set<std::string> expectedNames;
+        std::set<std::string> copiedNames;
         f.store.keepCopy();
         const auto steps = *rc::gen::container<std::vector<int>>( 12, rc::gen::inRange( 0, 10 ) );
         for( const int step : steps ) {
             const auto name = std::string( "n" ) + std::to_string( step % 4 );
             if( step == 9 ) {
                 f.store.restoreCopy();
-                truth = copy;
+                expectedNames = copiedNames;
             } else if( step == 8 ) {
                 f.store.keepCopy();
-                copy = truth;
+                copiedNames = expectedNames;
             } else if( step < 5 ) {
                 f.store.put( "things", name, f.store.revision() );
-                truth.insert( name );
+                expectedNames.insert( name );
             } else {
                 f.store.remove( "things", name );
-                truth.erase( name );
+                expectedNames.erase( name );
             }
             f.context.run_one_for( 1ms );
         }
-        RC_ASSERT( f.runUntil(
-            [&] { return f.names == truth && f.follower->position().era == f.store.era(); } ) );
+        RC_ASSERT( f.runUntil( [&] {
+            return f.names == expectedNames && f.follower->position().era == f.store.era();
+        } ) );
         f.follower->stop();
     } );
 }
 
 TEST_CASE( "A follower hears that the store has come back from a copy, before it takes its listing",
            "[store]" ) {
-    Followed f;
+    FollowerFixture f;
     f.store.put( "things", "old", 1 );
     f.store.keepCopy();
     f.store.put( "things", "new", 1 );
@@ -152,8 +153,8 @@
     f.store.restoreCopy();
     REQUIRE( f.runUntil( [&] { return f.names == std::set<std::string>{ "old" }; } ) );
     CHECK( f.restorations == 1 );
-    // A relay that still speaks of the former history, and changes of one that this follower does
-    // not know, are dropped; the whole of a newer one holds.
+    // The follower drops relayed updates of the former era, and changes of an era that it does not
+    // know. It accepts a complete snapshot of a newer era.
     CHECK_FALSE( f.follower->acceptRelayed( { 1, 9000 }, true, MonoTime::max() ) );
     CHECK_FALSE( f.follower->acceptRelayed( { 9, 1 }, false, MonoTime::max() ) );
     CHECK( f.follower->acceptRelayed( { 9, 1 }, true, MonoTime::max() ) );
@@ -165,19 +166,19 @@
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{ 2000ms } };
     registry.storeReachable( true, start );
-    registry.applyListing( { listed( "u1", UpstreamState::ready, { 1, 5 } ) }, start );
-    const auto later = start + 60s;
-    registry.storeRestored( later );
-    registry.applyListing( {}, later );
-    registry.expire( later + 1900ms );
+    registry.applyListing( { makeUpstream( "u1", UpstreamState::ready, { 1, 5 } ) }, start );
+    const auto restoredAt = start + 60s;
+    registry.storeRestored( restoredAt );
+    registry.applyListing( {}, restoredAt );
+    registry.expire( restoredAt + 1900ms );
     CHECK( registry.members().contains( "u1" ) );
     SECTION( "written again it stays" ) {
-        registry.put( listed( "u1", UpstreamState::ready, { 2, 3 } ), later + 1900ms );
-        registry.expire( later + 2100ms );
+        registry.put( makeUpstream( "u1", UpstreamState::ready, { 2, 3 } ), restoredAt + 1900ms );
+        registry.expire( restoredAt + 2100ms );
         CHECK( registry.members().contains( "u1" ) );
     }
     SECTION( "otherwise it is gone" ) {
-        registry.expire( later + 2100ms );
+        registry.expire( restoredAt + 2100ms );
         CHECK_FALSE( registry.members().contains( "u1" ) );
     }
 }
@@ -186,18 +187,20 @@
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{ 2000ms } };
     registry.storeReachable( true, start );
-    registry.applyListing( { listed( "u1", UpstreamState::draining, { 1, 5 } ) }, start );
+    registry.applyListing( { makeUpstream( "u1", UpstreamState::draining, { 1, 5 } ) }, start );
     registry.storeRestored( start + 1s );
-    registry.applyListing( { listed( "u1", UpstreamState::ready, { 2, 5 } ) }, start + 1s );
+    registry.applyListing( { makeUpstream( "u1", UpstreamState::ready, { 2, 5 } ) }, start + 1s );
     CHECK( registry.members().at( "u1" ).upstream.state == UpstreamState::draining );
     registry.remove( "u1", start + 2s );
     CHECK_FALSE( registry.members().contains( "u1" ) );
     SECTION( "nor does it come back when it has gone" ) {
-        registry.applyListing( { listed( "u1", UpstreamState::ready, { 3, 5 } ) }, start + 3s );
+        registry.applyListing( { makeUpstream( "u1", UpstreamState::ready, { 3, 5 } ) },
+                               start + 3s );
         CHECK_FALSE( registry.members().contains( "u1" ) );
     }
     SECTION( "a later start under its id does" ) {
-        registry.put( listed( "u1", UpstreamState::ready, { 3, 5 }, 1700000000000 ), start + 3s );
+        registry.put( makeUpstream( "u1", UpstreamState::ready, { 3, 5 }, 1700000000000 ),
+                      start + 3s );
         CHECK( registry.members().at( "u1" ).upstream.state == UpstreamState::ready );
     }
 }
@@ -205,8 +208,8 @@
 TEST_CASE( "Of two upstreams at one address the one of the newer history holds",
            "[store][registry]" ) {
     Registry registry{ Registry::Settings{} };
-    registry.applyListing( { listed( "lost", UpstreamState::ready, { 1, 900 } ) }, start );
-    registry.put( listed( "present", UpstreamState::ready, { 2, 3 } ), start );
+    registry.applyListing( { makeUpstream( "lost", UpstreamState::ready, { 1, 900 } ) }, start );
+    registry.put( makeUpstream( "present", UpstreamState::ready, { 2, 3 } ), start );
     CHECK( registry.members().contains( "present" ) );
     CHECK_FALSE( registry.members().contains( "lost" ) );
 }
