--- a/tests/unit/limit.tests.cpp
+++ b/tests/unit/limit.tests.cpp
@@ -313,7 +313,7 @@
     TwoEngines f;
     Announcement announcement;
     announcement.backoff = 500ms;
-    f.engineWithModel().hear( announcement, 1, start );
+    f.engineWithModel().takeAnnouncement( announcement, 1, start );
     const auto choice = f.choose( start );
     CHECK_FALSE( choice.node );
     CHECK( choice.unavailableFor == 500ms );
