--- a/include/coursehead/kernel/elastic_pool.hpp
+++ b/include/coursehead/kernel/elastic_pool.hpp
@@ -10,25 +10,25 @@
 
 namespace coursehead {
 
-//! Runs tasks that may block for long, each on a thread made when needed and ended when idle.
+//! Thread pool for tasks that may block for long. Starts threads on demand and ends idle ones.
 class ElasticPool {
 public:
-    //! `limit` is the most threads at once.
+    //! `limit` is the maximum number of threads.
     explicit ElasticPool( std::size_t limit ) : m_limit( limit ) {}
     ~ElasticPool() { shutdown(); }
     ElasticPool( const ElasticPool& ) = delete;
     ElasticPool& operator=( const ElasticPool& ) = delete;
 
-    //! Runs the task, or queues it while all threads are busy.
+    //! Runs the task, or queues it if all threads are busy.
     void run( std::function<void()> task );
-    //! Runs the task if a thread is free or may be made; false otherwise.
+    //! Runs the task if a thread is idle or can be started; returns false otherwise.
     bool tryRun( std::function<void()> task );
-    //! Runs what is queued, then waits until every thread has ended.
+    //! Runs the queued tasks, then waits until all threads have ended.
     void shutdown();
 
 private:
     bool submit( std::function<void()> task, bool mayQueue );
-    void work();
+    void runTasks();
 
     std::mutex m_mutex;
     std::condition_variable m_changed;
--- a/include/coursehead/kernel/kernel.hpp
+++ b/include/coursehead/kernel/kernel.hpp
@@ -19,39 +19,40 @@
     std::function<void()> stop;
 };
 
-//! Thrown when a service is registered twice, or is looked up but absent.
+//! Thrown if a service or an interface is registered twice, or an interface is absent or has
+//! another type.
 struct KernelError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 /**
- * The micro-kernel: holds the process's services, starts them in the order of registration and
- * stops them in reverse. Services find each other's interfaces by name.
+ * The micro-kernel: owns the services of the process, starts them in the order of registration and
+ * stops them in reverse order. Services look up each other's interfaces by name.
  */
 class Kernel {
 public:
-    //! Registers a service; the order of calls is the order of starting.
+    //! Registers a service. Services start in the order of registration.
     void add( Service service );
 
-    //! Publishes an interface under a name. The object must outlive the kernel.
+    //! Registers an interface under a name. The object must outlive the kernel.
     template <typename T>
     void provide( std::string_view name, T& object ) {
         publish( name, std::any( &object ) );
     }
 
-    //! Finds a published interface; throws KernelError when absent or of another type.
+    //! Returns a registered interface; throws KernelError if it is absent or has another type.
     template <typename T>
     T& find( std::string_view name ) const {
         auto* const* found = std::any_cast<T*>( &lookUp( name ) );
         if( found == nullptr ) {
-            throw KernelError( "service '" + std::string( name ) + "' has another type" );
+            throw KernelError( "interface '" + std::string( name ) + "' has another type" );
         }
         return **found;
     }
 
-    //! Starts every service; on failure stops those already started, then rethrows.
+    //! Starts all services. If one throws, stops the services already started and rethrows.
     void start();
-    //! Stops the started services in reverse order.
+    //! Stops the started services in reverse order of their start.
     void stop();
 
 private:
--- a/include/coursehead/kernel/log.hpp
+++ b/include/coursehead/kernel/log.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-//! Logging: one line of key=value pairs for each event.
+//! Logging: one line of key=value pairs per event.
 namespace coursehead::log {
 
-//! One pair of a log line; the value is quoted when it holds spaces, quotes or equals signs.
+//! A key=value pair of a log line. A value with spaces, quotes or equals signs is quoted.
 struct Field {
     Field( std::string_view fieldKey, std::string_view text ) : key( fieldKey ), value( text ) {}
     Field( std::string_view fieldKey, const char* text ) : key( fieldKey ), value( text ) {}
@@ -21,14 +21,15 @@
     std::string value;
 };
 
-//! A number that may have a fraction, as a field's text.
+//! Formats a decimal number as the value of a field.
 std::string decimal( double number );
 
-//! Sets the level (debug, info, warn, error) and the fields that open every line.
+//! Logs to standard error. Sets the level (debug, info, warn, error) and the `role` and `vm` fields
+//! of every line.
 void setUp( std::string_view level, std::string_view role, std::string_view vm );
 
-//! The same, to standard output through a bounded queue and a thread of its own: a reader that
-//! does not keep up loses the oldest lines, and never holds the process up.
+//! Logs to standard output through a bounded queue and a separate thread. If the reader of the
+//! output is too slow, the oldest lines are dropped and the process is not blocked.
 void setUpBounded( std::string_view level, std::string_view role, std::string_view vm );
 
 void debug( std::string_view event, std::initializer_list<Field> fields );
@@ -36,7 +37,7 @@
 void warn( std::string_view event, std::initializer_list<Field> fields );
 void error( std::string_view event, std::initializer_list<Field> fields );
 
-//! The text of a line without its timestamp, for tests.
+//! The event and the fields of a line, without the prefix that every line has.
 std::string formatLine( std::string_view event, std::initializer_list<Field> fields );
 
 } // namespace coursehead::log
--- a/include/coursehead/kernel/random.hpp
+++ b/include/coursehead/kernel/random.hpp
@@ -9,12 +9,12 @@
 
 namespace coursehead {
 
-//! A seeded source of random numbers that several threads may share.
+//! A seeded, thread-safe source of random numbers.
 class RandomSource {
 public:
     explicit RandomSource( std::uint64_t seed ) : m_engine( seed ) {}
 
-    //! A number in [0, bound); 0 when bound is 0.
+    //! A number in [0, bound); 0 if `bound` is 0.
     std::uint64_t below( std::uint64_t bound );
     //! A number in [0, 1).
     double unit();
--- a/include/coursehead/kernel/settings.hpp
+++ b/include/coursehead/kernel/settings.hpp
@@ -9,13 +9,13 @@
 #include <string_view>
 #include <vector>
 
-//! Settings from flags and environment variables, checked at start.
+//! Settings from command-line flags and environment variables, checked at start.
 namespace coursehead::settings {
 
-//! What a setting's text must be.
+//! The format of a setting's value.
 enum class Kind {
     text,     //!< any non-empty text
-    optional, //!< any text, may be empty
+    optional, //!< any text, including an empty one
     name,     //!< letters, digits, '-', '_' and '.'
     number,   //!< a whole number within [low, high]
     share,    //!< a decimal within [0, 1]
@@ -26,11 +26,11 @@
     flag,     //!< true or false
 };
 
-//! One setting: `--name VALUE`, or COURSEHEAD_NAME in the environment; the flag wins.
+//! A setting: `--name VALUE`, or COURSEHEAD_NAME in the environment. The flag takes precedence.
 struct Spec {
     std::string_view name;
     Kind kind = Kind::text;
-    std::string_view defaultValue; //!< empty: the setting is required (unless Kind::optional)
+    std::string_view defaultValue; //!< empty: the setting is required (except Kind::optional)
     std::string_view help;
     std::int64_t low = 0;
     std::int64_t high = 0;
@@ -47,14 +47,15 @@
     double share( std::string_view name ) const;
     bool flag( std::string_view name ) const;
 
-    //! Lines of `name=value`, with secrets (names ending in -token) hidden.
+    //! Returns a line of `name=value` per setting; the values of secrets (names ending in -token)
+    //! are hidden.
     std::string print() const;
 
 private:
     std::map<std::string, std::string, std::less<>> m_values;
 };
 
-//! What the command line asks for, or every problem found in it.
+//! The result of parsing the command line, with all problems found.
 struct Parsed {
     Settings settings{ {} };
     std::vector<std::string> problems;
@@ -62,23 +63,23 @@
     bool helpShown = false;
 };
 
-//! Looks a variable up in the environment; nullptr when unset.
+//! Returns the value of an environment variable; nullptr if it is not set.
 using Environment = const char* (*)( const char* name );
 
-//! Reads and checks the settings of one role; `arguments` excludes the program's and the role's
-//! name.
+//! Parses and checks the settings of a role. `arguments` excludes the names of the program and the
+//! role.
 Parsed parse( std::string_view role, std::span<const Spec> specs,
               std::span<const std::string> arguments, Environment environment );
 
-//! The environment variable of a setting: "max-body" gives "COURSEHEAD_MAX_BODY".
+//! The environment variable of a setting: "COURSEHEAD_MAX_BODY" for "max-body".
 std::string environmentName( std::string_view name );
 
-//! Splits a checked IP:PORT.
+//! The parts of an IP:PORT address.
 struct HostPort {
     std::string host;
     int port = 0;
 };
-//! The parts of an IP:PORT or http://IP:PORT text; port -1 when it is malformed.
+//! Splits IP:PORT or http://IP:PORT; the port is -1 if the text is malformed.
 HostPort splitAddress( std::string_view text );
 
 } // namespace coursehead::settings
--- a/include/coursehead/kernel/signals.hpp
+++ b/include/coursehead/kernel/signals.hpp
@@ -4,8 +4,8 @@
 
 namespace coursehead {
 
-//! Blocks SIGTERM and SIGINT in this thread and those it starts, and ignores SIGPIPE. To be called
-//! before any thread is started.
+//! Blocks SIGTERM and SIGINT in this thread and the threads it starts, and ignores SIGPIPE. Must be
+//! called before any thread is started.
 void blockStopSignals();
 //! Waits for SIGTERM or SIGINT and returns its number.
 int waitForStopSignal();
--- a/include/coursehead/platform/attempt.hpp
+++ b/include/coursehead/platform/attempt.hpp
@@ -8,7 +8,7 @@
 
 namespace coursehead::platform {
 
-//! Runs a store call and gives its value or its StoreError as one plain struct.
+//! Runs a store call and returns its value or its StoreError as an Attempt.
 template <typename Call>
 auto attempt( const Call& call ) {
     using Value = std::decay_t<decltype( call().value() )>;
@@ -25,7 +25,7 @@
         } );
 }
 
-//! The same for calls without a value.
+//! Runs a store call that has no value. Sets `ok`, and returns the error if the call failed.
 inline StoreError attemptVoid( const std::function<Result<void>()>& call, bool& ok ) {
     return boost::leaf::try_handle_all(
         [&]() -> Result<StoreError> {
--- a/include/coursehead/platform/store.hpp
+++ b/include/coursehead/platform/store.hpp
@@ -17,7 +17,7 @@
 //! The platform's object API: versioned objects, conditional updates and watches.
 namespace coursehead::platform {
 
-//! Resource kinds, as they stand in the API's paths.
+//! Resource kinds as spelt in the API's paths.
 inline constexpr std::string_view configKind = "configs";
 inline constexpr std::string_view leaseKind = "leases";
 inline constexpr std::string_view epochKind = "epochs";
@@ -32,12 +32,12 @@
 };
 
 enum class StoreFailure {
-    notSent, //!< the store was not reached: nothing happened
-    unknown, //!< the call was cut: a write may have taken effect
+    notSent, //!< the request was not sent, so the store did nothing
+    unknown, //!< the call was interrupted; a write may have taken effect
     notFound,
-    conflict, //!< the object has another version, or exists already
-    expired,  //!< the watch's start version is too old; list again
-    refused,  //!< the store said no (rate, fault, malformed)
+    conflict, //!< the object has a different version, or already exists
+    expired,  //!< the start version of the watch is too old; list again
+    refused,  //!< the store rejected the call (rate limit, fault or malformed request)
 };
 
 //! A failed call.
@@ -53,26 +53,26 @@
     Object object;
 };
 
-//! What a watch is about: a kind, or one object of it.
+//! The scope of a list or watch call: all objects of a kind, or one of them.
 struct Topic {
     std::string kind;
-    std::string name; //!< empty: all objects of the kind
+    std::string name; //!< empty for all objects of the kind
 };
 
 struct Listing {
-    std::uint64_t version = 0; //!< the store's version at the time of the listing
+    std::uint64_t version = 0; //!< store version at the time of the listing
     std::vector<Object> objects;
 };
 
 template <typename T>
 using Result = boost::leaf::result<T>;
 
-//! Lets another thread end a call that waits.
+//! Lets another thread cancel a blocking call.
 class CallControl {
 public:
-    //! Ends the bound call, and every call bound later.
+    //! Aborts the bound call and every call that is bound later.
     void cancel();
-    //! Sets how to end the call in progress; calls it at once when already cancelled.
+    //! Sets the function that aborts the call in progress; runs it at once if already cancelled.
     void bind( std::function<void()> abort );
     void unbind();
 
@@ -82,23 +82,23 @@
     bool m_cancelled = false;
 };
 
-//! Takes an event; false ends the watch.
+//! Handles an event; returning false ends the watch.
 using EventHandler = std::function<bool( const WatchEvent& event )>;
 
-//! The store's operations, as plain functions, so that tests put a fake in their place.
+//! The store's operations as function objects, so that tests can replace them with a fake.
 struct ObjectStore {
     std::function<Result<Object>( std::string_view kind, std::string_view name )> get;
     std::function<Result<Listing>( const Topic& topic )> list;
     std::function<Result<Object>( const Object& object )> create;
     //! Replaces the object if its version is still `object.version`.
     std::function<Result<Object>( const Object& object )> update;
-    //! Streams the events behind a version, for at most `wait`; ends without error at its close.
+    //! Streams the events after a version for at most `wait`. The end of the stream is no error.
     std::function<Result<void>( const Topic& topic, std::uint64_t version, Millis wait,
                                 const EventHandler& handler, CallControl& control )>
         watch;
 };
 
-//! Calls made to the store, by outcome.
+//! Counts of the calls made to the store, by operation, and of the failed ones.
 struct StoreStats {
     std::atomic<std::uint64_t> reads{ 0 };
     std::atomic<std::uint64_t> writes{ 0 };
@@ -106,10 +106,10 @@
     std::atomic<std::uint64_t> failures{ 0 };
 };
 
-//! The store behind a URL, over HTTP. `stats` must outlive the result.
+//! Returns an HTTP client of the store at a URL. `stats` must outlive the result.
 ObjectStore httpStore( const std::string& url, StoreStats& stats );
 
-//! A call's value, or its error when `ok` is false; see attempt().
+//! The value of a call, or its error if `ok` is false; see attempt().
 template <typename T>
 struct Attempt {
     bool ok = false;
--- a/include/coursehead/platform/vm.hpp
+++ b/include/coursehead/platform/vm.hpp
@@ -11,18 +11,18 @@
 enum class VmRole { entry, runner, service };
 enum class VmState { live, leaving };
 
-//! A VM as the platform lists it. The list lags; a VM that left the list is gone for good.
+//! A VM in the platform's list. The list lags behind; a VM that has left it does not return.
 struct Vm {
     std::string name;
     std::string ip;
-    int port = 0; //!< where the process of ours on it listens
+    int port = 0; //!< listening port of the coursehead process on this VM
     std::string hall;
     std::string region;
     VmRole role = VmRole::runner;
     VmState state = VmState::live;
 };
 
-//! Reads a VM object; false when it is malformed.
+//! Parses a VM object; returns false if it is malformed.
 bool readVm( const Object& object, Vm& out );
 
 } // namespace coursehead::platform
--- a/include/coursehead/platform/watcher.hpp
+++ b/include/coursehead/platform/watcher.hpp
@@ -12,20 +12,21 @@
 
 namespace coursehead::platform {
 
-//! How a watcher waits.
+//! Timing of a watcher.
 struct WatchSettings {
-    Millis wait{ 240000 };    //!< one watch call
-    Millis firstRetry{ 200 }; //!< delay after a failure; doubles up to `lastRetry`, jittered
-    Millis lastRetry{ 5000 };
+    Millis wait{ 240000 };           //!< duration of one watch call
+    Millis initialRetryDelay{ 200 }; //!< first delay after a failure; doubles, with jitter
+    Millis maxRetryDelay{ 5000 };    //!< upper limit of the delay before jitter
 };
 
-//! The objects of a topic, by name, each time they change, with the store's version they show.
+//! Receives all objects of a topic, by name, and the store version they reflect, on each change.
 using ObjectsHandler =
     std::function<void( const std::map<std::string, Object>& objects, std::uint64_t version )>;
 
 /**
- * Keeps up with a topic on a thread of its own: lists, then watches from there, and lists again
- * when the watch expired. Never gives an older version of an object than it gave before.
+ * Follows a topic on its own thread: lists its objects, watches for changes after that version,
+ * and lists again when a watch fails or expires. Never passes the handler an older version of an
+ * object than before.
  */
 class Watcher {
 public:
@@ -37,15 +38,15 @@
 
     void start();
     void stop();
-    //! True while the store answers: the last list or watch call did not fail.
-    bool fresh() const;
+    //! True if the last list or watch call succeeded.
+    bool lastCallSucceeded() const;
 
 private:
     void run();
     bool list();
-    bool follow();
-    bool take( const WatchEvent& event );
-    void pause( Millis delay );
+    bool watchChanges();
+    bool applyEvent( const WatchEvent& event );
+    void waitBeforeRetry( Millis delay );
     bool stopping() const;
 
     const ObjectStore& m_store;
@@ -58,7 +59,7 @@
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     bool m_stopping = false;
-    bool m_fresh = false;
+    bool m_lastCallSucceeded = false;
     CallControl m_control;
     std::thread m_thread;
 };
--- a/src/kernel/daemon.cpp
+++ b/src/kernel/daemon.cpp
@@ -20,13 +20,14 @@
 
 namespace {
 
-//! Threads share this many malloc arenas: with one each, many sessions would hold much memory.
+//! Number of malloc arenas shared by all threads. With one arena per thread, many sessions would
+//! hold much memory.
 constexpr int mallocArenas = 2;
 constexpr int mallocTrimBytes = 256 << 10;
 
-constexpr std::array<Spec, 10> common{ {
+constexpr std::array<Spec, 10> commonSpecs{ {
     { "vm", Kind::name, "", "Name of this VM in the platform's list" },
-    { "hall", Kind::name, "", "Hall this VM stands in" },
+    { "hall", Kind::name, "", "Hall of this VM" },
     { "region", Kind::name, "", "Region of the hall" },
     { "store", Kind::url, "", "The platform's object API" },
     { "peer-token", Kind::text, "", "Secret shared by entries and agents" },
@@ -34,16 +35,16 @@
       100, 600000 },
     { "watch-wait-ms", Kind::number, "240000", "Length of one watch call", 1000, 3600000 },
     { "log-level", Kind::logLevel, "info", "debug, info, warn or error" },
-    { "drain-limit-ms", Kind::number, "600000", "The longest a stop waits for requests in progress",
-      0, 86400000 },
-    { "store-retry-ms", Kind::number, "5000", "Longest pause between tries to reach the store", 50,
-      600000 },
+    { "drain-limit-ms", Kind::number, "600000",
+      "Longest time that a stop waits for requests in progress", 0, 86400000 },
+    { "store-retry-ms", Kind::number, "5000", "Longest delay between attempts to reach the store",
+      50, 600000 },
 } };
 
 } // namespace
 
 std::vector<Spec> withCommon( std::span<const Spec> own ) {
-    std::vector<Spec> out( common.begin(), common.end() );
+    std::vector<Spec> out( commonSpecs.begin(), commonSpecs.end() );
     out.insert( out.end(), own.begin(), own.end() );
     return out;
 }
@@ -91,16 +92,16 @@
 platform::WatchSettings watchSettings( const settings::Settings& settings ) {
     platform::WatchSettings out;
     out.wait = Millis( settings.number( "watch-wait-ms" ) );
-    out.lastRetry = Millis( settings.number( "store-retry-ms" ) );
+    out.maxRetryDelay = Millis( settings.number( "store-retry-ms" ) );
     return out;
 }
 
 void waitUntilIdle( const settings::Settings& settings, const Clock& clock,
                     const std::function<std::size_t()>& inFlight ) {
-    constexpr Millis step{ 20 };
+    constexpr Millis pollInterval{ 20 };
     const auto limit = clock.now() + Millis( settings.number( "drain-limit-ms" ) );
     while( inFlight() > 0 && clock.now() < limit ) {
-        std::this_thread::sleep_for( step );
+        std::this_thread::sleep_for( pollInterval );
     }
     log::info( "drain_ends", { { "left", static_cast<std::int64_t>( inFlight() ) } } );
 }
--- a/src/kernel/daemon.hpp
+++ b/src/kernel/daemon.hpp
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-//! What the two daemons, entry and agent, have in common.
+//! Functions shared by the two daemons, entry and agent.
 namespace coursehead::daemon {
 
 //! Exit codes of the daemons.
@@ -22,23 +22,24 @@
 inline constexpr int exitFailed = 1;
 inline constexpr int exitUsage = 2;
 
-//! The settings every daemon has, followed by the role's own.
+//! Returns the settings that all daemons have, followed by the settings of the role.
 std::vector<settings::Spec> withCommon( std::span<const settings::Spec> own );
 
-//! Checks the settings, sets the log up, then runs the role.
+//! Checks the settings, sets up the log and runs the role. Returns the exit code.
 int runRole( std::string_view role, std::span<const settings::Spec> specs,
              std::span<const std::string> arguments,
              const std::function<int( const settings::Settings& )>& run );
 
-//! The peer layer's settings.
+//! The settings of the peer layer.
 peer::LoopSettings loopSettings( const settings::Settings& settings );
 platform::WatchSettings watchSettings( const settings::Settings& settings );
 
-//! Waits until nothing is in flight, at most for the setting drain-limit-ms, and logs what is left.
+//! Waits until no request is in flight, at most for the setting drain-limit-ms, and logs the number
+//! of remaining requests.
 void waitUntilIdle( const settings::Settings& settings, const Clock& clock,
                     const std::function<std::size_t()>& inFlight );
 
-//! Registers the gauges that every daemon has.
+//! Registers the gauges that all daemons have.
 void addCommonGauges( metrics::Metrics& metrics, const config::Replica& replica,
                       const platform::StoreStats& store, const peer::Loop& loop );
 
--- a/src/kernel/elastic_pool.cpp
+++ b/src/kernel/elastic_pool.cpp
@@ -7,7 +7,7 @@
 namespace coursehead {
 
 namespace {
-constexpr auto keepIdle = std::chrono::seconds( 5 );
+constexpr auto idleThreadTimeout = std::chrono::seconds( 5 );
 } // namespace
 
 void ElasticPool::run( std::function<void()> task ) {
@@ -28,7 +28,7 @@
     m_tasks.push_back( std::move( task ) );
     if( newThread ) {
         ++m_threads;
-        std::thread( [this] { work(); } ).detach();
+        std::thread( [this] { runTasks(); } ).detach();
     } else {
         m_changed.notify_one();
     }
@@ -42,11 +42,12 @@
     m_changed.wait( lock, [this] { return m_threads == 0; } );
 }
 
-void ElasticPool::work() {
+void ElasticPool::runTasks() {
     std::unique_lock lock( m_mutex );
     for( ;; ) {
         ++m_idle;
-        m_changed.wait_for( lock, keepIdle, [this] { return !m_tasks.empty() || m_stopping; } );
+        m_changed.wait_for( lock, idleThreadTimeout,
+                            [this] { return !m_tasks.empty() || m_stopping; } );
         --m_idle;
         if( m_tasks.empty() ) {
             break;
--- a/src/kernel/hash.hpp
+++ b/src/kernel/hash.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <string_view>
 
-//! Hashes that are the same in every process and build (xxHash); not for secrets.
+//! Hashes (xxHash) that are stable across processes and builds; not cryptographic.
 namespace coursehead {
 
 std::uint64_t hash64( std::string_view text );
-//! Hash of a pair, as rendezvous hashing needs it.
+//! Hash of a pair of texts, for rendezvous hashing.
 std::uint64_t hash64( std::string_view a, std::string_view b );
-//! 128 bits as 32 hexadecimal digits.
+//! A 128-bit hash as 32 hexadecimal digits.
 std::string hashText( std::string_view text );
 
 } // namespace coursehead
--- a/src/kernel/kernel.cpp
+++ b/src/kernel/kernel.cpp
@@ -8,18 +8,18 @@
 namespace coursehead {
 
 MonoClock::time_point MonoClock::now() noexcept {
-    timespec read{};
-    ::clock_gettime( CLOCK_BOOTTIME, &read );
-    return time_point( std::chrono::seconds( read.tv_sec ) +
-                       std::chrono::nanoseconds( read.tv_nsec ) );
+    timespec bootTime{};
+    ::clock_gettime( CLOCK_BOOTTIME, &bootTime );
+    return time_point( std::chrono::seconds( bootTime.tv_sec ) +
+                       std::chrono::nanoseconds( bootTime.tv_nsec ) );
 }
 
 Clock systemClock() {
     return Clock{
         [] { return MonoClock::now(); },
         [] {
-            const auto since = std::chrono::system_clock::now().time_since_epoch();
-            return std::chrono::duration_cast<Millis>( since ).count();
+            const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+            return std::chrono::duration_cast<Millis>( sinceEpoch ).count();
         },
     };
 }
--- a/src/kernel/log.cpp
+++ b/src/kernel/log.cpp
@@ -39,11 +39,11 @@
     }
 }
 
-//! Lines that wait for the writer at the most.
-constexpr std::size_t queuedLines = 4096;
+//! Capacity of the queue of lines that are not yet written.
+constexpr std::size_t maxQueuedLines = 4096;
 
-void install( std::shared_ptr<spdlog::logger> logger, std::string_view level, std::string_view role,
-              std::string_view vm ) {
+void installLogger( std::shared_ptr<spdlog::logger> logger, std::string_view level,
+                    std::string_view role, std::string_view vm ) {
     logger->set_level( spdlog::level::from_str( std::string( level ) ) );
     logger->flush_on( spdlog::level::info );
     const std::string prefix = "time=%Y-%m-%dT%H:%M:%S.%eZ level=%l role=" + std::string( role ) +
@@ -55,16 +55,16 @@
 } // namespace
 
 void setUp( std::string_view level, std::string_view role, std::string_view vm ) {
-    install( spdlog::stderr_logger_mt( "coursehead" ), level, role, vm );
+    installLogger( spdlog::stderr_logger_mt( "coursehead" ), level, role, vm );
 }
 
 void setUpBounded( std::string_view level, std::string_view role, std::string_view vm ) {
-    spdlog::init_thread_pool( queuedLines, 1 );
+    spdlog::init_thread_pool( maxQueuedLines, 1 );
     auto sink = std::make_shared<spdlog::sinks::stdout_sink_mt>();
     auto logger = std::make_shared<spdlog::async_logger>(
         "coursehead", std::move( sink ), spdlog::thread_pool(),
         spdlog::async_overflow_policy::overrun_oldest );
-    install( std::move( logger ), level, role, vm );
+    installLogger( std::move( logger ), level, role, vm );
 }
 
 std::string decimal( double number ) {
--- a/src/kernel/platform_role.cpp
+++ b/src/kernel/platform_role.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::int64_t highestPort = 65535;
+constexpr std::int64_t maxPort = 65535;
 
 constexpr std::array<settings::Spec, 2> specs{ {
     { "log-level", settings::Kind::logLevel, "info", "debug, info, warn or error" },
     { "metrics-port", settings::Kind::number, "0",
-      "port of the process's own figures; 0: the last internal port", 0, highestPort },
+      "port of the process's metrics; 0: the last internal port", 0, maxPort },
 } };
 
 } // namespace
@@ -29,26 +29,26 @@
     const auto environment = []( const char* name ) -> const char* {
         return std::getenv( name );
     };
-    const auto own = settings::parse( role, specs, arguments, environment );
-    if( own.helpShown ) {
+    const auto parsed = settings::parse( role, specs, arguments, environment );
+    if( parsed.helpShown ) {
         return exitOk;
     }
-    auto problems = own.problems;
-    auto read = platform::readNodeSettings( platform::settingsPath() );
-    problems.insert( problems.end(), read.problems.begin(), read.problems.end() );
+    auto problems = parsed.problems;
+    auto nodeSettings = platform::readNodeSettings( platform::settingsPath() );
+    problems.insert( problems.end(), nodeSettings.problems.begin(), nodeSettings.problems.end() );
     for( const auto& it : problems ) {
         std::cerr << "coursehead " << role << ": " << it << "\n";
     }
     if( !problems.empty() ) {
         return exitUsage;
     }
-    if( const auto port = own.settings.number( "metrics-port" ); port > 0 ) {
-        read.settings.metricsPort = static_cast<int>( port );
+    if( const auto port = parsed.settings.number( "metrics-port" ); port > 0 ) {
+        nodeSettings.settings.metricsPort = static_cast<int>( port );
     }
     std::signal( SIGPIPE, SIG_IGN );
-    log::setUpBounded( own.settings.text( "log-level" ), role, read.settings.vm );
+    log::setUpBounded( parsed.settings.text( "log-level" ), role, nodeSettings.settings.vm );
     try {
-        return run( read.settings );
+        return run( nodeSettings.settings );
     } catch( const std::exception& ex ) {
         log::error( "start_failed", { { "detail", ex.what() } } );
         return exitFailed;
--- a/src/kernel/platform_role.hpp
+++ b/src/kernel/platform_role.hpp
@@ -11,7 +11,8 @@
 
 namespace coursehead::daemon {
 
-//! Checks the platform's settings, sets the log up, then runs the role. Gives the exit code.
+//! Checks the flags and the platform's settings file, sets up the log and runs the role. Returns
+//! the exit code.
 int runPlatformRole( std::string_view role, std::span<const std::string> arguments,
                      const std::function<int( const platform::NodeSettings& )>& run );
 
--- a/src/kernel/settings.cpp
+++ b/src/kernel/settings.cpp
@@ -27,8 +27,8 @@
     return std::isalnum( static_cast<unsigned char>( c ) ) != 0 || c == '-' || c == '_' || c == '.';
 }
 
-//! Why a value is not acceptable; empty when it is.
-std::string complaint( const Spec& spec, const std::string& value ) {
+//! The reason why a value is invalid; empty if it is valid.
+std::string valueProblem( const Spec& spec, const std::string& value ) {
     switch( spec.kind ) {
     case Kind::optional:
         return {};
@@ -72,7 +72,7 @@
     return "has an unknown kind";
 }
 
-std::string startValue( const Spec& spec, Environment environment ) {
+std::string initialValue( const Spec& spec, Environment environment ) {
     const char* set = environment( environmentName( spec.name ).c_str() );
     return set != nullptr ? set : std::string( spec.defaultValue );
 }
@@ -88,19 +88,19 @@
         help += environmentName( spec.name );
         help += "]";
         out.push_back( std::make_unique<ValueArg>( "", std::string( spec.name ), help, false,
-                                                   startValue( spec, environment ), "value",
+                                                   initialValue( spec, environment ), "value",
                                                    line ) );
     }
     return out;
 }
 
-void check( std::span<const Spec> specs, const std::vector<std::unique_ptr<ValueArg>>& found,
-            Parsed& out ) {
+void checkValues( std::span<const Spec> specs, const std::vector<std::unique_ptr<ValueArg>>& found,
+                  Parsed& out ) {
     std::map<std::string, std::string, std::less<>> values;
     for( std::size_t n = 0; n < specs.size(); ++n ) {
         const Spec& spec = specs[n];
         const std::string& value = found[n]->getValue();
-        const std::string why = complaint( spec, value );
+        const std::string why = valueProblem( spec, value );
         if( !why.empty() ) {
             std::string problem = "--";
             problem += spec.name;
@@ -152,7 +152,7 @@
         args.insert( args.end(), arguments.begin(), arguments.end() );
         line.parse( args );
         out.printSettings = print.getValue();
-        check( specs, found, out );
+        checkValues( specs, found, out );
     } catch( const TCLAP::ArgException& ex ) {
         out.problems.push_back( ex.argId() + ": " + ex.error() );
     } catch( const TCLAP::ExitException& ) {
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-// The operator's configuration, decoded and checked.
+// Parses and checks the operator's configuration.
 #include "platform/wire.hpp"
 
 #include <nlohmann/json.hpp>
@@ -24,8 +24,8 @@
 
 constexpr double millisPerSecond = 1000.0;
 
-//! A field that can't be taken as it is; says field and value. Never names a key.
-struct BadField : std::runtime_error {
+//! Thrown for an invalid field. The message holds the field and its value, but never a client key.
+struct FieldError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -33,11 +33,11 @@
     return Millis( static_cast<std::int64_t>( table.value( name, 0.0 ) * millisPerSecond ) );
 }
 
-RequestKind readKind( const std::string& word ) {
-    if( word == "safe" ) {
+RequestKind readKind( const std::string& text ) {
+    if( text == "safe" ) {
         return RequestKind::repeatable;
     }
-    return word == "streaming" ? RequestKind::stream : RequestKind::once;
+    return text == "streaming" ? RequestKind::stream : RequestKind::once;
 }
 
 double readAmount( const Json& in, const char* name, const std::string& path ) {
@@ -46,12 +46,12 @@
         return 0;
     }
     if( !it->is_number() || it->get<double>() < 0 ) {
-        throw BadField( path + name + " = " + it->dump() + ": expected a number, 0 or more" );
+        throw FieldError( path + name + " = " + it->dump() + ": expected a number, 0 or more" );
     }
     return it->get<double>();
 }
 
-std::vector<std::string> readHomes( const Json& in, const std::string& path ) {
+std::vector<std::string> readHomeRegions( const Json& in, const std::string& path ) {
     const auto it = in.find( "homeRegions" );
     if( it == in.end() || it->is_null() ) {
         return {};
@@ -60,7 +60,8 @@
         return value.is_string();
     };
     if( !it->is_array() || !std::all_of( it->begin(), it->end(), isText ) ) {
-        throw BadField( path + "homeRegions = " + it->dump() + ": expected names of regions" );
+        throw FieldError( path + "homeRegions = " + it->dump() +
+                          ": expected an array of region names" );
     }
     return it->get<std::vector<std::string>>();
 }
@@ -78,7 +79,7 @@
     out.attempts = in.value( "attempts", 1 );
     out.resumable = in.value( "resumable", false );
     out.keyless = in.value( "keyless", false );
-    out.homeRegions = readHomes( in, "routes." + out.name + "." );
+    out.homeRegions = readHomeRegions( in, "routes." + out.name + "." );
     if( in.contains( "split" ) && in["split"].is_array() ) {
         for( const auto& it : in["split"] ) {
             out.splits.push_back(
@@ -142,7 +143,7 @@
     if( *it == "tokens" ) {
         return QuotaUnit::tokens;
     }
-    throw BadField( path + "unit = " + it->dump() + ": expected \"requests\" or \"tokens\"" );
+    throw FieldError( path + "unit = " + it->dump() + ": expected \"requests\" or \"tokens\"" );
 }
 
 Organisation readOrganisation( const Json& in, const std::string& path ) {
@@ -150,7 +151,7 @@
     out.name = in.at( "name" ).get<std::string>();
     for( const auto& it : in.value( "keys", Json::array() ) ) {
         if( !it.is_string() ) {
-            throw BadField( path + "keys: expected texts only" );
+            throw FieldError( path + "keys: expected an array of strings" );
         }
         out.keys.push_back( gateway::digestOf( it.get_ref<const std::string&>() ) );
     }
@@ -162,23 +163,23 @@
     limit.burst = readAmount( in, "burst", path );
     limit.unit = readUnit( in, path );
     limit.defaultTokens = static_cast<std::int64_t>( readAmount( in, "plainTokens", path ) );
-    out.homeRegions = readHomes( in, path );
+    out.homeRegions = readHomeRegions( in, path );
     return out;
 }
 
 std::vector<Organisation> readOrganisations( const Json& in ) {
     std::vector<Organisation> out;
-    std::unordered_set<gateway::KeyDigest, gateway::KeyDigestHash> seen;
+    std::unordered_set<gateway::KeyDigest, gateway::KeyDigestHash> allKeys;
     for( const auto& it : in ) {
         const auto path = "tenants[" + std::to_string( out.size() ) + "].";
         out.push_back( readOrganisation( it, path ) );
         const auto& keys = out.back().keys;
-        std::unordered_set<gateway::KeyDigest, gateway::KeyDigestHash> own( keys.begin(),
-                                                                            keys.end() );
-        for( const auto& key : own ) {
-            if( !seen.insert( key ).second ) {
-                throw BadField( path + "keys, of '" + out.back().name +
-                                "': one of them is another organisation's too" );
+        std::unordered_set<gateway::KeyDigest, gateway::KeyDigestHash> organisationKeys(
+            keys.begin(), keys.end() );
+        for( const auto& key : organisationKeys ) {
+            if( !allKeys.insert( key ).second ) {
+                throw FieldError( path + "keys, of '" + out.back().name +
+                                  "': one of them also belongs to another organisation" );
             }
         }
     }
@@ -206,7 +207,7 @@
 } // namespace
 
 std::optional<Configuration> readConfiguration( std::string_view json, std::string& problem ) {
-    // A parser's own message quotes the text, and keys stand in it.
+    // Parses without exceptions: those of the parser quote the input, which holds client keys.
     const auto in = Json::parse( json, nullptr, false );
     if( in.is_discarded() ) {
         problem = "not JSON";
@@ -216,7 +217,7 @@
         return readAll( in );
     } catch( const Json::exception& ex ) {
         problem = ex.what();
-    } catch( const BadField& ex ) {
+    } catch( const FieldError& ex ) {
         problem = ex.what();
     }
     return std::nullopt;
--- a/src/platform/headers.cpp
+++ b/src/platform/headers.cpp
@@ -16,35 +16,36 @@
 constexpr double millisPerSecond = 1000.0;
 constexpr unsigned statusMisdirected = 421;
 
-constexpr std::string_view requestIdName = "X-Request-Id";
-constexpr std::string_view deadlineName = "X-Deadline-Ms";
-constexpr std::string_view lastEventName = "Last-Event-Id";
-constexpr std::string_view modelName = "X-Model";
-constexpr std::string_view tokensName = "X-Token-Counts";
-constexpr std::string_view partsName = "X-Prompt-Prefix";
-constexpr std::string_view instanceName = "X-Expect-Instance";
-constexpr std::string_view urgencyName = "X-Request-Urgency";
-constexpr std::string_view organisationName = "X-Tenant";
-constexpr std::string_view keyScheme = "bearer";
-constexpr std::string_view notRunName = "X-Not-Run";
-//! Headers by which the system asks an upstream for something. From a client they would take
-//! memory, copies or turns that nobody granted: a fifth of all sends was refused for them.
-constexpr std::array systemNames = {
+constexpr std::string_view requestIdHeader = "X-Request-Id";
+constexpr std::string_view deadlineHeader = "X-Deadline-Ms";
+constexpr std::string_view lastEventIdHeader = "Last-Event-Id";
+constexpr std::string_view modelHeader = "X-Model";
+constexpr std::string_view tokenCountsHeader = "X-Token-Counts";
+constexpr std::string_view promptPrefixHeader = "X-Prompt-Prefix";
+constexpr std::string_view expectedInstanceHeader = "X-Expect-Instance";
+constexpr std::string_view urgencyHeader = "X-Request-Urgency";
+constexpr std::string_view organisationHeader = "X-Tenant";
+constexpr std::string_view bearerScheme = "bearer";
+constexpr std::string_view notRunHeader = "X-Not-Run";
+//! Headers by which coursehead gives instructions to an upstream. Passed on from a client, they
+//! would claim memory, copies or queue positions that were not granted; upstreams refused a fifth
+//! of all requests because of them.
+constexpr std::array systemHeaders = {
     std::string_view( "X-Hold" ),
     std::string_view( "X-Pin-Ms" ),
     std::string_view( "X-Cache-Backup" ),
     std::string_view( "Kv-From" ),
     std::string_view( "Kv-Fetch" ),
     std::string_view( "X-Expect-Version" ),
-    instanceName,
-    urgencyName,
+    expectedInstanceHeader,
+    urgencyHeader,
 };
-constexpr std::string_view actualInstanceName = "X-Instance-Id";
-constexpr std::string_view sealName = "X-Response-Seal";
-constexpr std::string_view backoffName = "Retry-After";
-constexpr std::string_view coldName = "X-Cold-Ms";
-constexpr std::string_view limitName = "Server-Limit";
-constexpr std::string_view leavingName = "Server-Leaving";
+constexpr std::string_view actualInstanceHeader = "X-Instance-Id";
+constexpr std::string_view responseSealHeader = "X-Response-Seal";
+constexpr std::string_view retryAfterHeader = "Retry-After";
+constexpr std::string_view coldTimeHeader = "X-Cold-Ms";
+constexpr std::string_view serverLimitHeader = "Server-Limit";
+constexpr std::string_view serverLeavingHeader = "Server-Leaving";
 constexpr std::string_view leavingValue = "1";
 constexpr unsigned statusTooManyRequests = 429;
 constexpr unsigned statusUnavailable = 503;
@@ -54,7 +55,8 @@
     return it == fields.end() ? std::string_view{} : std::string_view( it->value() );
 }
 
-//! The whole of `text` as a number; `format` is a base, or for fractions their notation.
+//! Parses all of `text` as a number. `format` is the base of an integer, or the std::chars_format
+//! of a decimal.
 template <typename T, typename Format = int>
 std::optional<T> readNumber( std::string_view text, Format format = Format( 10 ) ) {
     T out{};
@@ -66,26 +68,26 @@
     return out;
 }
 
-//! The prompt's tokens and the most that may be generated.
+//! The number of prompt tokens and the maximum number of tokens to generate.
 struct TokenCounts {
     std::int64_t prompt = 0;
-    std::int64_t most = 0;
+    std::int64_t maxGenerated = 0;
 };
 
 TokenCounts readTokenCounts( const http::fields& fields ) {
-    const auto text = field( fields, tokensName );
+    const auto text = field( fields, tokenCountsHeader );
     const auto comma = text.find( ',' );
     TokenCounts out;
     out.prompt = readNumber<std::int64_t>( text.substr( 0, comma ) ).value_or( 0 );
     if( comma != std::string_view::npos ) {
-        out.most = readNumber<std::int64_t>( text.substr( comma + 1 ) ).value_or( 0 );
+        out.maxGenerated = readNumber<std::int64_t>( text.substr( comma + 1 ) ).value_or( 0 );
     }
     return out;
 }
 
 gateway::Generation readGeneration( const http::fields& fields ) {
     gateway::Generation out;
-    const auto model = field( fields, modelName );
+    const auto model = field( fields, modelHeader );
     const auto slash = model.find( '/' );
     out.model = std::string( model.substr( 0, slash ) );
     if( slash != std::string_view::npos ) {
@@ -93,9 +95,9 @@
     }
     const auto counts = readTokenCounts( fields );
     out.promptTokens = counts.prompt;
-    out.maxTokens = counts.most;
+    out.maxTokens = counts.maxGenerated;
     constexpr int hex = 16;
-    auto rest = field( fields, partsName );
+    auto rest = field( fields, promptPrefixHeader );
     while( !rest.empty() ) {
         const auto end = rest.find( ',' );
         const auto part = rest.substr( 0, end );
@@ -103,7 +105,7 @@
         const auto colon = part.find( ':' );
         const auto id = readNumber<std::uint64_t>( part.substr( 0, colon ), hex );
         if( !id || colon == std::string_view::npos ) {
-            break; // a part that cannot be read ends what can be shared
+            break; // the prefix can be shared only up to the first unreadable part
         }
         out.parts.push_back(
             { *id, readNumber<std::int64_t>( part.substr( colon + 1 ) ).value_or( 0 ) } );
@@ -111,72 +113,74 @@
     return out;
 }
 
-//! Seconds, fractions allowed; nullopt for a date, anything else, and less than nothing.
+//! Parses a non-negative number of seconds, fractions allowed; nullopt for anything else, such as a
+//! date.
 std::optional<Millis> readSeconds( std::string_view text ) {
     const auto seconds = readNumber<double>( text, std::chars_format::general );
     if( !seconds || !std::isfinite( *seconds ) || *seconds < 0 ) {
         return std::nullopt;
     }
-    const auto longest = static_cast<double>( decide::maxBackoff.count() );
-    const auto ms = std::min( std::ceil( *seconds * millisPerSecond ), longest );
+    const auto maxBackoffMs = static_cast<double>( decide::maxBackoff.count() );
+    const auto ms = std::min( std::ceil( *seconds * millisPerSecond ), maxBackoffMs );
     return Millis( static_cast<std::int64_t>( ms ) );
 }
 
-//! A header that can't be read, for the log.
-std::string badField( std::string_view name, std::string_view value ) {
+//! Formats a header that can't be parsed, for the log.
+std::string formatField( std::string_view name, std::string_view value ) {
     return std::string( name ) + ": " + std::string( value );
 }
 
-//! The longest back-off that an answer asks for.
+//! Reads the longest back-off among the Retry-After headers.
 void readBackoff( const http::fields& fields, AnswerHead& out ) {
     const auto [begin, end] = fields.equal_range( http::field::retry_after );
     for( auto it = begin; it != end; ++it ) {
         const std::string_view text( it->value() );
         const auto backoff = readSeconds( text );
-        auto& known = out.announcement.backoff;
+        auto& longest = out.announcement.backoff;
         if( !backoff ) {
-            out.badField = badField( backoffName, text );
-        } else if( !known || *known < *backoff ) {
-            known = backoff;
+            out.badField = formatField( retryAfterHeader, text );
+        } else if( !longest || *longest < *backoff ) {
+            longest = backoff;
         }
     }
 }
 
 void readCold( const http::fields& fields, AnswerHead& out ) {
-    const auto it = fields.find( coldName );
+    const auto it = fields.find( coldTimeHeader );
     if( it == fields.end() ) {
         return;
     }
     const std::string_view text( it->value() );
     const auto ms = readNumber<std::int64_t>( text );
     if( !ms || *ms < 0 ) {
-        out.badField = badField( coldName, text );
+        out.badField = formatField( coldTimeHeader, text );
         return;
     }
     out.announcement.cold = std::min( Millis( *ms ), decide::maxColdTime );
 }
 
-//! The limit that an answer names; the lowest of several.
+//! Reads the lowest rate limit among the Server-Limit headers.
 void readLimit( const http::fields& fields, AnswerHead& out ) {
-    auto& said = out.announcement;
-    const auto [begin, end] = fields.equal_range( { limitName.data(), limitName.size() } );
+    auto& announcement = out.announcement;
+    const auto [begin, end] =
+        fields.equal_range( { serverLimitHeader.data(), serverLimitHeader.size() } );
     for( auto it = begin; it != end; ++it ) {
         const std::string_view text( it->value() );
         const auto perS = readNumber<double>( text, std::chars_format::general );
         const bool usable = perS && std::isfinite( *perS ) && *perS >= 0;
         if( !usable ) {
-            out.badField = badField( limitName, text );
-            const bool named = said.limit == decide::LimitAnnouncement::named;
-            said.limit = named ? said.limit : decide::LimitAnnouncement::unreadable;
+            out.badField = formatField( serverLimitHeader, text );
+            const bool named = announcement.limit == decide::LimitAnnouncement::named;
+            announcement.limit = named ? announcement.limit : decide::LimitAnnouncement::unreadable;
             continue;
         }
-        const bool first = said.limit != decide::LimitAnnouncement::named;
-        said.limitPerS = first ? *perS : std::min( said.limitPerS, *perS );
-        said.limit = decide::LimitAnnouncement::named;
+        const bool first = announcement.limit != decide::LimitAnnouncement::named;
+        announcement.limitPerS = first ? *perS : std::min( announcement.limitPerS, *perS );
+        announcement.limit = decide::LimitAnnouncement::named;
     }
 }
 
-std::string numbered( std::int64_t n ) {
+std::string numberText( std::int64_t n ) {
     return std::to_string( n );
 }
 
@@ -184,16 +188,16 @@
 
 RequestHead readRequestHead( const http::fields& fields ) {
     RequestHead out;
-    out.requestId = std::string( field( fields, requestIdName ) );
-    if( const auto n = readNumber<std::int64_t>( field( fields, deadlineName ) ); n && *n >= 0 ) {
+    out.requestId = std::string( field( fields, requestIdHeader ) );
+    if( const auto n = readNumber<std::int64_t>( field( fields, deadlineHeader ) ); n && *n >= 0 ) {
         out.deadline = Millis( *n );
     }
-    out.lastEventId = readNumber<std::uint64_t>( field( fields, lastEventName ) );
-    if( fields.find( tokensName ) != fields.end() ) {
+    out.lastEventId = readNumber<std::uint64_t>( field( fields, lastEventIdHeader ) );
+    if( fields.find( tokenCountsHeader ) != fields.end() ) {
         const auto counts = readTokenCounts( fields );
-        out.tokens = counts.prompt + counts.most;
+        out.tokens = counts.prompt + counts.maxGenerated;
     }
-    if( fields.find( modelName ) != fields.end() ) {
+    if( fields.find( modelHeader ) != fields.end() ) {
         out.generation = readGeneration( fields );
     }
     return out;
@@ -204,12 +208,12 @@
         return std::nullopt;
     }
     auto text = std::string_view( fields[http::field::authorization] );
-    const auto scheme = text.substr( 0, keyScheme.size() );
+    const auto scheme = text.substr( 0, bearerScheme.size() );
     if( !boost::beast::iequals( { scheme.data(), scheme.size() },
-                                { keyScheme.data(), keyScheme.size() } ) ) {
+                                { bearerScheme.data(), bearerScheme.size() } ) ) {
         return std::nullopt;
     }
-    text.remove_prefix( keyScheme.size() );
+    text.remove_prefix( bearerScheme.size() );
     constexpr std::string_view blanks = " \t";
     const auto begin = text.find_first_not_of( blanks );
     if( begin == 0 || begin == std::string_view::npos ) {
@@ -225,7 +229,7 @@
 
 std::size_t removeSystemHeaders( http::fields& fields ) {
     std::size_t out = 0;
-    for( const auto name : systemNames ) {
+    for( const auto name : systemHeaders ) {
         out += fields.erase( { name.data(), name.size() } );
     }
     return out;
@@ -237,44 +241,44 @@
         client.erase( { name.data(), name.size() } );
         out.set( name, value );
     };
-    set( instanceName, head.upstreamId );
-    set( deadlineName, numbered( head.deadline.count() ) );
+    set( expectedInstanceHeader, head.upstreamId );
+    set( deadlineHeader, numberText( head.deadline.count() ) );
     if( head.urgency ) {
-        set( urgencyName, numbered( *head.urgency ) );
+        set( urgencyHeader, numberText( *head.urgency ) );
     }
     if( head.lastEventId ) {
-        set( lastEventName, std::to_string( *head.lastEventId ) );
+        set( lastEventIdHeader, std::to_string( *head.lastEventId ) );
     }
     if( head.keyed ) {
         client.erase( http::field::authorization );
-        client.erase( { organisationName.data(), organisationName.size() } );
+        client.erase( { organisationHeader.data(), organisationHeader.size() } );
     }
     if( !head.organisation.empty() ) {
-        out.set( organisationName, head.organisation );
+        out.set( organisationHeader, head.organisation );
     }
     return out;
 }
 
 AnswerHead readAnswerHead( unsigned status, const http::fields& fields ) {
     AnswerHead out;
-    out.requestId = std::string( field( fields, requestIdName ) );
-    out.sealed = fields.find( sealName ) != fields.end();
+    out.requestId = std::string( field( fields, requestIdHeader ) );
+    out.sealed = fields.find( responseSealHeader ) != fields.end();
     if( status == statusMisdirected ) {
         out.answerClass = AnswerClass::moved;
-        out.actualUpstream = std::string( field( fields, actualInstanceName ) );
-    } else if( fields.find( notRunName ) != fields.end() ) {
+        out.actualUpstream = std::string( field( fields, actualInstanceHeader ) );
+    } else if( fields.find( notRunHeader ) != fields.end() ) {
         out.answerClass = AnswerClass::notRun;
     }
-    // A 429 of an answer that was run is about its client, not about the upstream.
-    const bool turnedAway =
+    // A 429 response without X-Not-Run concerns the client's own limits, not the upstream.
+    const bool temporarilyRefused =
         status == statusUnavailable ||
         ( status == statusTooManyRequests && out.answerClass == AnswerClass::notRun );
-    if( turnedAway ) {
+    if( temporarilyRefused ) {
         readBackoff( fields, out );
     }
     readCold( fields, out );
     readLimit( fields, out );
-    out.announcement.leaving = field( fields, leavingName ) == leavingValue;
+    out.announcement.leaving = field( fields, serverLeavingHeader ) == leavingValue;
     return out;
 }
 
@@ -286,11 +290,11 @@
 }
 
 std::string_view actualUpstreamHeader() {
-    return actualInstanceName;
+    return actualInstanceHeader;
 }
 
 std::string_view expectedUpstreamHeader() {
-    return instanceName;
+    return expectedInstanceHeader;
 }
 
 } // namespace coursehead::platform
--- a/src/platform/headers.hpp
+++ b/src/platform/headers.hpp
@@ -11,63 +11,64 @@
 #include <string>
 #include <string_view>
 
-//! The headers of requests and answers on the platform.
+//! The headers of requests and responses on the platform.
 namespace coursehead::platform {
 
 namespace http = boost::beast::http;
 
-//! What a client's request says beside method, path and body.
+//! The parsed headers of a client's request.
 struct RequestHead {
     std::string requestId;
-    std::optional<gateway::KeyDigest> key; //!< of the key that it carries, if it is well formed
-    std::optional<std::int64_t> tokens;    //!< of its prompt and the most it may generate, together
-    std::optional<Millis> deadline;        //!< how long the client will wait
-    std::optional<std::uint64_t> lastEventId; //!< the client resumes behind this event
+    std::optional<gateway::KeyDigest> key;    //!< digest of the client's key, if well formed
+    std::optional<std::int64_t> tokens;       //!< tokens of the prompt plus the maximum to generate
+    std::optional<Millis> deadline;           //!< how long the client waits
+    std::optional<std::uint64_t> lastEventId; //!< the client resumes after this event
     std::optional<gateway::Generation> generation;
 };
 RequestHead readRequestHead( const http::fields& fields );
-//! The key of a request's head; nullopt when there is none, more than one, or it is malformed.
-//! Trailers must not be among the fields yet.
+//! The digest of the request's bearer key; nullopt if there is no key, more than one, or a
+//! malformed one. Must be called before trailers are merged into the fields.
 std::optional<gateway::KeyDigest> readClientKey( const http::fields& fields );
-//! Drops the headers that only the system may set: an upstream would act on them. Returns how many.
+//! Removes the headers that only coursehead may set, since upstreams act on them. Returns the
+//! number of removed headers.
 std::size_t removeSystemHeaders( http::fields& fields );
 
-//! What one send to an upstream carries beside the client's own headers.
+//! The values of the headers that coursehead adds to a request to an upstream.
 struct SendHead {
     std::string upstreamId;
     Millis deadline{ 0 };
-    std::optional<int> urgency;               //!< 0 (first) to 9
-    std::optional<std::uint64_t> lastEventId; //!< go on behind this event
-    bool keyed = false;                       //!< requests carry keys, which upstreams don't see
-    std::string organisation;                 //!< whom the key belongs to; empty: nobody's
+    std::optional<int> urgency;               //!< 0 (most urgent) to 9
+    std::optional<std::uint64_t> lastEventId; //!< resume after this event
+    bool keyed = false;       //!< clients send keys, which are not passed to upstreams
+    std::string organisation; //!< organisation that owns the key; empty if there is none
 };
-//! The headers of a send that are the system's own. What the client gave under the same names is
-//! removed from `client`. They are kept apart, since what a client's `Connection` header names
-//! would be taken for its own and dropped.
+//! Returns the headers that coursehead adds to a request, and removes the client's headers of the
+//! same names from `client`. They are returned separately because headers that the client's
+//! `Connection` header names are dropped, which must not affect those of coursehead.
 http::fields takeSendHead( const SendHead& head, http::fields& client );
 
-//! How an upstream's answer is to be understood.
+//! The meaning of an upstream's response.
 enum class AnswerClass {
-    complete, //!< the upstream's own answer to a request that it ran (of any status)
-    notRun,   //!< the upstream has not run the request and never will
-    moved,    //!< not run: another upstream has the address, or lacks the model
+    complete, //!< the upstream ran the request and this is its response, of any status
+    notRun,   //!< the upstream has not run the request and will not run it
+    moved,    //!< not run: another upstream now has the address, or the upstream lacks the model
 };
 struct AnswerHead {
     std::string requestId;
     AnswerClass answerClass = AnswerClass::complete;
     bool sealed = false;        //!< carries the upstream's signature
-    std::string actualUpstream; //!< who has the address, when it is not the one that was meant
+    std::string actualUpstream; //!< upstream that has the address, if not the expected one
     decide::Announcement announcement;
-    std::string badField; //!< name and value of an announcement that can't be read
+    std::string badField; //!< name and value of an announcement header that can't be parsed
 };
 AnswerHead readAnswerHead( unsigned status, const http::fields& fields );
 
-//! Milliseconds for a header that counts seconds, fractions allowed.
+//! Formats a delay in seconds with two decimals, for the Retry-After header.
 std::string retryAfterText( Millis delay );
 
-//! Header in which a refusal names the upstream that has the address.
+//! Header in which a refusal names the upstream that now has the address.
 std::string_view actualUpstreamHeader();
-//! Header that makes any upstream but the named one refuse.
+//! Header that makes an upstream refuse the request unless it is the named one.
 std::string_view expectedUpstreamHeader();
 
 } // namespace coursehead::platform
--- a/src/platform/http_store.cpp
+++ b/src/platform/http_store.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::string_view basePath = "/apis/coursehead/v1/";
 constexpr http::Timeouts callTimeouts{ Millis{ 500 }, Millis{ 2000 } };
-//! How much longer than a watch's own wait its connection may stay silent.
+//! Time added to a watch's duration for the read timeout of its connection.
 constexpr Millis watchSlack{ 2000 };
 
 leaf::error_id fail( StoreStats& stats, StoreFailure failure, std::string detail ) {
@@ -68,12 +68,12 @@
     case gone:
         return StoreFailure::expired;
     default:
-        // A server error may come after the write took effect.
+        // A write may have taken effect before a 5xx response.
         return status >= firstServerError ? StoreFailure::unknown : StoreFailure::refused;
     }
 }
 
-//! One call with its answer's JSON.
+//! Makes a call and parses the JSON of the response.
 leaf::result<Json> exchange( const std::string& url, StoreStats& stats,
                              const http::Request& request ) {
     http::Client client( url, callTimeouts );
@@ -84,14 +84,14 @@
     if( outcome.failure == http::Failure::broken ) {
         return fail( stats, StoreFailure::unknown, outcome.detail );
     }
-    constexpr int firstError = 300;
-    if( outcome.response.status >= firstError ) {
+    constexpr int firstErrorStatus = 300;
+    if( outcome.response.status >= firstErrorStatus ) {
         return fail( stats, failureOf( outcome.response.status ),
                      "status " + std::to_string( outcome.response.status ) );
     }
     auto parsed = Json::parse( outcome.response.body, nullptr, false );
     if( parsed.is_discarded() ) {
-        return fail( stats, StoreFailure::unknown, "the answer is not JSON" );
+        return fail( stats, StoreFailure::unknown, "the response is not JSON" );
     }
     return parsed;
 }
@@ -101,7 +101,7 @@
     BOOST_LEAF_AUTO( parsed, exchange( url, stats, request ) );
     Object out;
     if( !readObject( parsed, kind, out ) ) {
-        return fail( stats, StoreFailure::unknown, "the answer is not an object" );
+        return fail( stats, StoreFailure::unknown, "the response is not a valid object" );
     }
     return out;
 }
@@ -127,7 +127,8 @@
         for( const auto& it : parsed.at( "items" ) ) {
             Object object;
             if( !readObject( it, topic.kind, object ) ) {
-                return fail( stats, StoreFailure::unknown, "an item is not an object" );
+                return fail( stats, StoreFailure::unknown,
+                             "an item of the list is not a valid object" );
             }
             out.objects.push_back( std::move( object ) );
         }
@@ -137,20 +138,21 @@
     return out;
 }
 
-EventType eventType( const std::string& word ) {
-    if( word == "ADDED" ) {
+EventType eventType( const std::string& name ) {
+    if( name == "ADDED" ) {
         return EventType::added;
     }
-    if( word == "DELETED" ) {
+    if( name == "DELETED" ) {
         return EventType::removed;
     }
-    return word == "BOOKMARK" ? EventType::bookmark : EventType::modified;
+    return name == "BOOKMARK" ? EventType::bookmark : EventType::modified;
 }
 
-//! Cuts a watch's stream into lines and hands each over as an event; false ends the watch.
-class EventLines {
+//! Splits a watch's stream into lines and passes each to the handler as an event. feed() returns
+//! false to end the watch.
+class EventStreamParser {
 public:
-    EventLines( std::string_view kind, const EventHandler& handler )
+    EventStreamParser( std::string_view kind, const EventHandler& handler )
         : m_kind( kind ), m_handler( handler ) {}
 
     bool feed( std::string_view bytes ) {
@@ -160,7 +162,7 @@
             if( end == std::string::npos ) {
                 return true;
             }
-            const bool more = line( std::string_view( m_partial ).substr( 0, end ) );
+            const bool more = parseLine( std::string_view( m_partial ).substr( 0, end ) );
             m_partial.erase( 0, end + 1 );
             if( !more ) {
                 return false;
@@ -170,7 +172,7 @@
     bool expired() const noexcept { return m_expired; }
 
 private:
-    bool line( std::string_view text ) {
+    bool parseLine( std::string_view text ) {
         const auto parsed = Json::parse( text, nullptr, false );
         if( !parsed.is_object() || !parsed.contains( "type" ) || !parsed.contains( "object" ) ) {
             return true;
@@ -203,21 +205,21 @@
         request.query["fieldSelector"] = "metadata.name=" + topic.name;
     }
     http::Client client( url, { callTimeouts.connect, wait + watchSlack } );
-    EventLines lines( topic.kind, handler );
+    EventStreamParser parser( topic.kind, handler );
     bool ended = false;
     int status = 0;
     control.bind( [&client] { client.abort(); } );
     const auto outcome = client.stream( request, [&]( int code, std::string_view bytes ) {
         status = code;
-        ended = code != 200 || !lines.feed( bytes );
+        ended = code != 200 || !parser.feed( bytes );
         return !ended;
     } );
     control.unbind();
     if( status >= 300 ) {
         return fail( stats, failureOf( status ), "status " + std::to_string( status ) );
     }
-    if( lines.expired() ) {
-        return fail( stats, StoreFailure::expired, "the watch's version is too old" );
+    if( parser.expired() ) {
+        return fail( stats, StoreFailure::expired, "the start version of the watch is too old" );
     }
     if( outcome.failure != http::Failure::none && !ended ) {
         return fail( stats, StoreFailure::unknown, outcome.detail );
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -20,52 +20,52 @@
 constexpr int maxPort = 65535;
 constexpr double millisPerSecond = 1000.0;
 
-//! Reads fields of one table, and collects what is wrong with them.
-class Reader {
+//! Reads the fields of a JSON object and collects the problems found.
+class FieldReader {
 public:
-    Reader( const Json& table, std::string path, std::vector<std::string>& problems )
+    FieldReader( const Json& table, std::string path, std::vector<std::string>& problems )
         : m_table( table ), m_path( std::move( path ) ), m_problems( problems ) {}
 
     std::string text( const char* name ) const {
         const auto* it = find( name );
         if( it == nullptr || !it->is_string() || it->get_ref<const std::string&>().empty() ) {
-            complain( name, it, "expected a text" );
+            addProblem( name, it, "expected a non-empty string" );
             return {};
         }
         return it->get<std::string>();
     }
-    double number( const char* name, double otherwise ) const {
+    double number( const char* name, double defaultValue ) const {
         const auto* it = find( name );
         if( it == nullptr || it->is_null() ) {
-            return otherwise;
+            return defaultValue;
         }
         if( !it->is_number() || it->get<double>() < 0 ) {
-            complain( name, it, "expected a number, 0 or more" );
-            return otherwise;
+            addProblem( name, it, "expected a number, 0 or more" );
+            return defaultValue;
         }
         return it->get<double>();
     }
-    Millis millis( const char* name, Millis otherwise ) const {
-        return Millis(
-            static_cast<std::int64_t>( number( name, static_cast<double>( otherwise.count() ) ) ) );
+    Millis millis( const char* name, Millis defaultValue ) const {
+        return Millis( static_cast<std::int64_t>(
+            number( name, static_cast<double>( defaultValue.count() ) ) ) );
     }
-    Millis seconds( const char* name, Millis otherwise ) const {
-        const double given =
-            number( name, static_cast<double>( otherwise.count() ) / millisPerSecond );
-        return Millis( static_cast<std::int64_t>( given * millisPerSecond ) );
+    Millis seconds( const char* name, Millis defaultValue ) const {
+        const double duration =
+            number( name, static_cast<double>( defaultValue.count() ) / millisPerSecond );
+        return Millis( static_cast<std::int64_t>( duration * millisPerSecond ) );
     }
-    bool flag( const char* name, bool otherwise ) const {
+    bool flag( const char* name, bool defaultValue ) const {
         const auto* it = find( name );
         if( it == nullptr || it->is_null() ) {
-            return otherwise;
+            return defaultValue;
         }
         if( !it->is_boolean() ) {
-            complain( name, it, "expected true or false" );
-            return otherwise;
+            addProblem( name, it, "expected true or false" );
+            return defaultValue;
         }
         return it->get<bool>();
     }
-    //! An optional IP:PORT.
+    //! Reads an optional IP:PORT field.
     Endpoint endpoint( const char* name ) const {
         const auto* it = find( name );
         if( it == nullptr || it->is_null() ) {
@@ -73,7 +73,7 @@
         }
         Endpoint out = it->is_string() ? readEndpoint( it->get<std::string>() ) : Endpoint{};
         if( !out.valid() ) {
-            complain( name, it, "expected IP:PORT" );
+            addProblem( name, it, "expected IP:PORT" );
         }
         return out;
     }
@@ -86,7 +86,7 @@
         const auto it = m_table.find( name );
         return it == m_table.end() ? nullptr : &*it;
     }
-    void complain( const char* name, const Json* value, std::string_view why ) const {
+    void addProblem( const char* name, const Json* value, std::string_view why ) const {
         const std::string shown = value == nullptr ? "(missing)" : value->dump();
         m_problems.push_back( m_path + name + " = " + shown + ": " + std::string( why ) );
     }
@@ -97,7 +97,7 @@
     std::vector<std::string>& m_problems;
 };
 
-Bounds readBounds( const Reader& in ) {
+Bounds readBounds( const FieldReader& in ) {
     Bounds out;
     out.contact = in.millis( "contactMs", out.contact );
     out.drain = in.millis( "drainMs", out.drain );
@@ -107,18 +107,18 @@
     out.retryWindow = in.seconds( "budgetWindowS", out.retryWindow );
     out.retrySlack = in.number( "budgetSlack", out.retrySlack );
     out.ceilingWindow = in.seconds( "ceilingWindowS", out.ceilingWindow );
-    out.ceilingOver = in.number( "ceilingOver", out.ceilingOver );
+    out.weightStoreRateFactor = in.number( "ceilingOver", out.weightStoreRateFactor );
     out.quotaWindow = in.seconds( "quotaWindowS", out.quotaWindow );
-    out.quotaOver = in.number( "quotaOver", out.quotaOver );
+    out.quotaExcessShare = in.number( "quotaOver", out.quotaExcessShare );
     out.quotaSlack = in.number( "quotaSlack", out.quotaSlack );
     out.evacuation = in.millis( "evacuationMs", out.evacuation );
-    out.coldOver = in.number( "coldOver", out.coldOver );
-    out.coldSlack = in.number( "coldSlack", out.coldSlack );
+    out.coldRateFactor = in.number( "coldOver", out.coldRateFactor );
+    out.coldRateSlack = in.number( "coldSlack", out.coldRateSlack );
     out.fencingRequired = in.flag( "fencingRequired", out.fencingRequired );
     return out;
 }
 
-void readPorts( const Reader& in, NodeSettings& out ) {
+void readPorts( const FieldReader& in, NodeSettings& out ) {
     const auto* it = in.find( "internalPorts" );
     const bool pair = it != nullptr && it->is_array() && it->size() == 2 &&
                       ( *it )[0].is_number_integer() && ( *it )[1].is_number_integer();
@@ -128,7 +128,7 @@
         out.metricsPort = out.lastPort;
     }
     if( !pair || out.firstPort <= 0 || out.lastPort < out.firstPort || out.lastPort > maxPort ) {
-        in.complain( "internalPorts", it, "expected [first, last] port" );
+        in.addProblem( "internalPorts", it, "expected [first port, last port]" );
     }
 }
 
@@ -153,14 +153,14 @@
     return path != nullptr ? path : "";
 }
 
-ReadSettings parseNodeSettings( std::string_view json ) {
-    ReadSettings out;
+ParsedNodeSettings parseNodeSettings( std::string_view json ) {
+    ParsedNodeSettings out;
     const auto parsed = Json::parse( json, nullptr, false );
     if( !parsed.is_object() ) {
         out.problems.emplace_back( "the settings file is not a JSON object" );
         return out;
     }
-    const Reader top( parsed, "", out.problems );
+    const FieldReader top( parsed, "", out.problems );
     auto& settings = out.settings;
     settings.vm = top.text( "nodeName" );
     settings.hall = top.text( "zone" );
@@ -169,22 +169,22 @@
         if( region.is_string() ) {
             settings.regions[hall] = region.get<std::string>();
         } else {
-            top.complain( "zones", &region, "expected the name of a region for " + hall );
+            top.addProblem( "zones", &region, "expected a region name for hall " + hall );
         }
     }
     readPorts( top, settings );
-    const Reader listen( top.table( "listen" ), "listen.", out.problems );
+    const FieldReader listen( top.table( "listen" ), "listen.", out.problems );
     settings.front = listen.endpoint( "front" );
     settings.ready = listen.endpoint( "ready" );
     settings.engine = top.endpoint( "app" );
     if( settings.engine.valid() ) {
         settings.service = top.text( "service" );
     }
-    settings.bounds = readBounds( Reader( top.table( "bounds" ), "bounds.", out.problems ) );
-    const Reader platform( top.table( "platform" ), "platform.", out.problems );
+    settings.bounds = readBounds( FieldReader( top.table( "bounds" ), "bounds.", out.problems ) );
+    const FieldReader platform( top.table( "platform" ), "platform.", out.problems );
     settings.store = platform.endpoint( "address" );
     if( !settings.store.valid() ) {
-        platform.complain( "address", platform.find( "address" ), "expected IP:PORT" );
+        platform.addProblem( "address", platform.find( "address" ), "expected IP:PORT" );
     }
     settings.firstStart = top.flag( "bootstrap", false );
     settings.storeReadsPerS = static_cast<std::uint64_t>( platform.number( "readsPerS", 0 ) );
@@ -193,7 +193,7 @@
 
 namespace {
 
-std::optional<std::string> textOf( const std::string& path ) {
+std::optional<std::string> readFile( const std::string& path ) {
     std::ifstream in( path );
     if( path.empty() || !in ) {
         return std::nullopt;
@@ -205,10 +205,10 @@
 
 } // namespace
 
-ReadSettings readNodeSettings( const std::string& path ) {
-    const auto text = textOf( path );
+ParsedNodeSettings readNodeSettings( const std::string& path ) {
+    const auto text = readFile( path );
     if( !text ) {
-        ReadSettings out;
+        ParsedNodeSettings out;
         out.problems.push_back( "COURSEHEAD_NODE_FILE = '" + path + "': cannot be read" );
         return out;
     }
@@ -216,10 +216,10 @@
 }
 
 SettingsWatch::SettingsWatch( std::string path )
-    : m_path( std::move( path ) ), m_hash( hash64( textOf( m_path ).value_or( "" ) ) ) {}
+    : m_path( std::move( path ) ), m_hash( hash64( readFile( m_path ).value_or( "" ) ) ) {}
 
 bool SettingsWatch::changed() {
-    const auto text = textOf( m_path );
+    const auto text = readFile( m_path );
     if( !text || text->empty() || hash64( *text ) == m_hash ) {
         return false;
     }
--- a/src/platform/node_settings.hpp
+++ b/src/platform/node_settings.hpp
@@ -15,7 +15,7 @@
 
 namespace coursehead::platform {
 
-//! IP and port.
+//! An IP address and a port; port 0 means that there is no endpoint.
 struct Endpoint {
     std::string ip;
     int port = 0;
@@ -25,85 +25,85 @@
     std::string text() const { return ip + ":" + std::to_string( port ); }
 };
 
-//! Reads IP:PORT; an endpoint with port 0 when malformed.
+//! Parses IP:PORT; the port is 0 if the text is malformed.
 Endpoint readEndpoint( std::string_view text );
 
-//! The bounds of the platform that the product's timing is derived from.
+//! The platform's limits, from which coursehead derives its timing.
 struct Bounds {
-    Millis contact{ 3000 };       //!< a process is judged again this long after trouble ends
-    Millis drain{ 2000 };         //!< time to stop sending to an upstream that is leaving
-    Millis grace{ 8000 };         //!< from SIGTERM to SIGKILL
-    Millis configuration{ 2000 }; //!< time to put a configuration in force
+    Millis contact{ 3000 }; //!< from the end of a fault until a process must meet its bounds again
+    Millis drain{ 2000 };   //!< time limit to stop sending to an upstream that is leaving
+    Millis grace{ 8000 };   //!< from SIGTERM to SIGKILL
+    Millis configuration{ 2000 }; //!< time limit to apply a new configuration
     double retryRatio = 0.2;      //!< retries allowed per request
     Millis retryWindow{ 10000 };
-    double retrySlack = 50;       //!< retries allowed per window on top, by all processes
-    Millis ceilingWindow{ 5000 }; //!< window of the weight store's rate
-    double ceilingOver = 1.1;     //!< tolerated factor over the weight store's rate
-    Millis quotaWindow{ 8000 };   //!< in which organisations' quotas are judged
-    double quotaOver = 0;         //!< part of a quota that may be passed
-    double quotaSlack = 0;        //!< units that may be spent on top
-    bool fencingRequired = false; //!< upstreams check fencing tokens
-    Millis evacuation{ 0 }; //!< time to send nothing more to a hall that is emptied; 0: none is
-    double coldOver = 0;    //!< factor on what a cold upstream says it bears
-    double coldSlack = 0;   //!< requests a second on top
+    double retrySlack = 50;       //!< additional retries allowed per window, over all processes
+    Millis ceilingWindow{ 5000 }; //!< window for the weight store's rate limit
+    double weightStoreRateFactor = 1.1; //!< tolerated factor on the weight store's rate
+    Millis quotaWindow{ 8000 };         //!< window for organisations' quotas
+    double quotaExcessShare = 0;        //!< tolerated excess as a share of the quota
+    double quotaSlack = 0;              //!< tolerated excess in units, in addition
+    bool fencingRequired = false;       //!< upstreams check fencing tokens
+    Millis evacuation{ 0 };    //!< time limit to stop sending to an evacuated hall; 0: disabled
+    double coldRateFactor = 0; //!< factor on the rate that a cold upstream announces
+    double coldRateSlack = 0;  //!< requests per second allowed in addition
 };
 
-//! The rule by which organisations' quotas are judged.
+//! The tolerance of organisations' quotas.
 inline decide::QuotaRule quotaRule( const Bounds& bounds ) {
-    return { bounds.quotaWindow, bounds.quotaOver, bounds.quotaSlack };
+    return { bounds.quotaWindow, bounds.quotaExcessShare, bounds.quotaSlack };
 }
 
-//! The rule by which halls are emptied.
+//! The time limits of a hall's evacuation.
 inline decide::EvacuationRule evacuationRule( const Bounds& bounds ) {
     return { bounds.evacuation, bounds.contact };
 }
 
-//! The rule by which cold upstreams are spared.
+//! The limit on requests to cold upstreams.
 inline decide::ColdRule coldRule( const Bounds& bounds ) {
-    return { bounds.coldOver, bounds.coldSlack };
+    return { bounds.coldRateFactor, bounds.coldRateSlack };
 }
 
-//! The settings that the platform lays down for a process.
+//! The settings that the platform provides to a process.
 struct NodeSettings {
     std::string vm;
     std::string hall;
-    std::map<std::string, std::string> regions; //!< of each hall
-    Endpoint front;    //!< where clients are accepted; invalid on VMs beside an engine
-    Endpoint ready;    //!< where readiness is asked for
-    std::string ip;    //!< of this VM
-    int firstPort = 0; //!< first of the ports free for the project's own traffic
+    std::map<std::string, std::string> regions; //!< region of each hall
+    Endpoint front;    //!< listens for clients; invalid on VMs that run an engine
+    Endpoint ready;    //!< serves readiness probes
+    std::string ip;    //!< IP address of this VM
+    int firstPort = 0; //!< first of the ports for coursehead's internal traffic
     int lastPort = 0;
-    int metricsPort = 0;     //!< where the process's own figures are served
-    Endpoint engine;         //!< the engine on this VM; invalid on fronts
-    std::string service;     //!< of that engine
-    bool firstStart = false; //!< of the whole deployment: no process has ever run before
+    int metricsPort = 0;     //!< serves the metrics of the process
+    Endpoint engine;         //!< the engine on this VM; invalid on gateways' VMs
+    std::string service;     //!< service of that engine
+    bool firstStart = false; //!< first start of the deployment: no process has run before
     Endpoint store;          //!< the platform's object store
     std::uint64_t storeReadsPerS = 0;
     Bounds bounds;
 };
 
-//! The settings, or every problem found, each naming field and value.
-struct ReadSettings {
+//! The parsed settings and all problems found. Each problem holds the field and its value.
+struct ParsedNodeSettings {
     NodeSettings settings;
     std::vector<std::string> problems;
 };
 
-//! The file's path from the environment; empty when not set.
+//! The path of the settings file from the environment; empty if it is not set.
 std::string settingsPath();
-ReadSettings parseNodeSettings( std::string_view json );
-ReadSettings readNodeSettings( const std::string& path );
+ParsedNodeSettings parseNodeSettings( std::string_view json );
+ParsedNodeSettings readNodeSettings( const std::string& path );
 
-//! Notices that the settings file was replaced: it may change without a signal.
+//! Detects by polling that the settings file was replaced, since no signal may announce it.
 class SettingsWatch {
 public:
     explicit SettingsWatch( std::string path );
-    //! True when the file's text is another than at the last call. One that cannot be read has not
-    //! changed: it may be in the middle of being replaced.
+    //! True if the content differs from that of the last call. An unreadable or empty file counts
+    //! as unchanged, since it may be in the middle of being replaced.
     bool changed();
 
 private:
     std::string m_path;
-    std::uint64_t m_hash; //!< of the text that was seen last
+    std::uint64_t m_hash; //!< hash of the content last read
 };
 
 } // namespace coursehead::platform
--- a/src/platform/store_client.cpp
+++ b/src/platform/store_client.cpp
@@ -14,14 +14,14 @@
 constexpr unsigned statusConflict = 409;
 constexpr unsigned statusGone = 410;
 
-StoreStatus statusOf( const net::JsonResponse& answer ) {
-    if( answer.end != net::CallOutcome::answered ) {
+StoreStatus statusOf( const net::JsonResponse& response ) {
+    if( response.end != net::CallOutcome::answered ) {
         return StoreStatus::unreachable;
     }
-    if( answer.status == statusGone ) {
+    if( response.status == statusGone ) {
         return StoreStatus::expired;
     }
-    return answer.status == statusOk ? StoreStatus::ok : StoreStatus::refused;
+    return response.status == statusOk ? StoreStatus::ok : StoreStatus::refused;
 }
 
 } // namespace
@@ -30,9 +30,9 @@
                           metrics::Metrics* metrics )
     : m_http( context, store.ip, store.port ), m_metrics( metrics ) {}
 
-void StoreClient::count( std::string_view what, std::string_view kind ) const {
+void StoreClient::count( std::string_view operation, std::string_view kind ) const {
     if( m_metrics != nullptr ) {
-        m_metrics->count( "store_calls", std::string( what ) + " " + std::string( kind ) );
+        m_metrics->count( "store_calls", std::string( operation ) + " " + std::string( kind ) );
     }
 }
 
@@ -42,14 +42,14 @@
     co_return co_await m_http.call( call );
 }
 
-bool StoreClient::takeEra( const net::JsonResponse& answer ) {
-    if( answer.responseHeader.empty() ) {
+bool StoreClient::updateEra( const net::JsonResponse& response ) {
+    if( response.responseHeader.empty() ) {
         return true;
     }
-    const auto era = readEra( answer.responseHeader );
+    const auto era = readEra( response.responseHeader );
     if( !era ) {
         log::warn( "store_era_unreadable",
-                   { { "field", eraHeader }, { "value", answer.responseHeader } } );
+                   { { "field", eraHeader }, { "value", response.responseHeader } } );
         return true;
     }
     if( *era < m_era ) {
@@ -68,40 +68,41 @@
 }
 
 net::Task<ListResult> StoreClient::listPages( std::string_view kind, Millis limit, ListAge age,
-                                              std::size_t most ) {
+                                              std::size_t maxPages ) {
     ListResult out;
     std::string after;
     for( std::size_t pages = 0;; ++pages ) {
         const bool first = pages == 0;
         count( age == ListAge::now ? "list" : "list_old", kind );
-        net::JsonCall page;
-        page.target = listPath( kind, after, age );
-        page.limit = limit;
-        const auto answer = co_await call( std::move( page ) );
-        out.status = statusOf( answer );
-        if( out.status == StoreStatus::ok && !takeEra( answer ) ) {
+        net::JsonCall request;
+        request.target = listPath( kind, after, age );
+        request.limit = limit;
+        const auto response = co_await call( std::move( request ) );
+        out.status = statusOf( response );
+        if( out.status == StoreStatus::ok && !updateEra( response ) ) {
             out.status = StoreStatus::former;
         }
         if( out.status != StoreStatus::ok ) {
             co_return out;
         }
-        auto got = readPage( answer.body );
-        if( !got ) {
+        auto page = readPage( response.body );
+        if( !page ) {
             out.status = StoreStatus::malformed;
             co_return out;
         }
         if( first ) {
-            out.position = { m_era, got->revision };
+            out.position = { m_era, page->revision };
         } else if( out.position.era != m_era ) {
-            // The pages before are of another history.
+            // The store was restored between two pages, so the earlier pages belong to another
+            // history.
             out.status = StoreStatus::expired;
             co_return out;
         }
-        for( auto& it : got->objects ) {
+        for( auto& it : page->objects ) {
             it.era = m_era;
             out.objects.push_back( std::move( it ) );
         }
-        if( !got->more || got->objects.empty() || pages + 1 >= most ) {
+        if( !page->more || page->objects.empty() || pages + 1 >= maxPages ) {
             co_return out;
         }
         after = out.objects.back().name;
@@ -112,53 +113,53 @@
                                            Millis wait ) {
     WatchResult out;
     count( "watch", kind );
-    net::JsonCall watching;
-    watching.target = watchPath( kind, revision, wait );
-    watching.limit = wait + watchSlack;
-    const auto answer = co_await call( std::move( watching ) );
-    out.status = statusOf( answer );
-    if( out.status == StoreStatus::ok && !takeEra( answer ) ) {
+    net::JsonCall request;
+    request.target = watchPath( kind, revision, wait );
+    request.limit = wait + watchSlack;
+    const auto response = co_await call( std::move( request ) );
+    out.status = statusOf( response );
+    if( out.status == StoreStatus::ok && !updateEra( response ) ) {
         out.status = StoreStatus::former;
     }
     if( out.status != StoreStatus::ok ) {
         co_return out;
     }
-    auto got = readEvents( answer.body );
-    if( !got ) {
+    auto parsed = readEvents( response.body );
+    if( !parsed ) {
         out.status = StoreStatus::malformed;
         co_return out;
     }
-    out.position = { m_era, got->revision };
-    for( auto& it : got->events ) {
+    out.position = { m_era, parsed->revision };
+    for( auto& it : parsed->events ) {
         it.object.era = m_era;
     }
-    out.events = std::move( got->events );
+    out.events = std::move( parsed->events );
     co_return out;
 }
 
 net::Task<StoreStatus> StoreClient::create( std::string_view kind, std::string body,
                                             Millis limit ) {
     count( "create", kind );
-    net::JsonCall making;
-    making.method = "POST";
-    making.target = listPath( kind, "", ListAge::now );
-    making.body = std::move( body );
-    making.limit = limit;
-    const auto answer = co_await call( std::move( making ) );
-    const bool made = answer.end == net::CallOutcome::answered &&
-                      ( answer.status == statusCreated || answer.status == statusConflict );
-    co_return made ? StoreStatus::ok : statusOf( answer );
+    net::JsonCall request;
+    request.method = "POST";
+    request.target = listPath( kind, "", ListAge::now );
+    request.body = std::move( body );
+    request.limit = limit;
+    const auto response = co_await call( std::move( request ) );
+    const bool exists = response.end == net::CallOutcome::answered &&
+                        ( response.status == statusCreated || response.status == statusConflict );
+    co_return exists ? StoreStatus::ok : statusOf( response );
 }
 
 net::Task<StoreStatus> StoreClient::remove( std::string_view kind, std::string_view name,
                                             Millis limit ) {
     count( "remove", kind );
-    net::JsonCall removing;
-    removing.method = "DELETE";
-    removing.target = objectPath( kind, name );
-    removing.limit = limit;
-    const auto answer = co_await call( std::move( removing ) );
-    co_return statusOf( answer );
+    net::JsonCall request;
+    request.method = "DELETE";
+    request.target = objectPath( kind, name );
+    request.limit = limit;
+    const auto response = co_await call( std::move( request ) );
+    co_return statusOf( response );
 }
 
 } // namespace coursehead::platform
--- a/src/platform/store_client.hpp
+++ b/src/platform/store_client.hpp
@@ -11,59 +11,59 @@
 
 namespace coursehead::platform {
 
-//! How much longer than asked a watch may take before its connection is taken for dead.
+//! Time added to a watch's duration before its connection is considered dead.
 inline constexpr Millis watchSlack{ 600 };
 
 enum class StoreStatus {
     ok,
-    expired,     //!< the watch's revision is not in the store's history: list again
-    former,      //!< an answer of before the store came back from a copy
-    refused,     //!< the store turned the call away, nothing was done
-    unreachable, //!< no answer
-    malformed,   //!< an answer that can't be read
+    expired,     //!< the watch's revision is not in the store's history; list again
+    former,      //!< the response is older than the store's last restore from a backup
+    refused,     //!< the store rejected the call and did nothing
+    unreachable, //!< no response
+    malformed,   //!< the response can't be parsed
 };
 
 struct ListResult {
     StoreStatus status = StoreStatus::unreachable;
     std::vector<StoreObject> objects;
-    decide::StorePosition position; //!< the first page's
+    decide::StorePosition position; //!< position of the first page
 };
 struct WatchResult {
     StoreStatus status = StoreStatus::unreachable;
     std::vector<StoreEvent> events;
-    decide::StorePosition position; //!< where the next watch goes on
+    decide::StorePosition position; //!< start of the next watch
 };
 
-//! Calls to the platform's store on one kept connection, one at a time.
+//! Client of the platform's store. Calls share a persistent connection and run one at a time.
 class StoreClient {
 public:
-    //! `metrics` counts the calls; null: nobody does.
+    //! `metrics` counts the calls; may be null.
     StoreClient( net::asio::io_context& context, const Endpoint& store,
                  metrics::Metrics* metrics = nullptr );
 
-    //! Lists a kind, page by page.
+    //! Lists all objects of a kind, page by page.
     net::Task<ListResult> list( std::string_view kind, Millis limit, ListAge age = ListAge::now );
-    //! The first page of a kind alone: some hundred objects at the most.
+    //! Lists only the first page of a kind, at most some hundred objects.
     net::Task<ListResult> firstPage( std::string_view kind, Millis limit, ListAge age );
-    //! Waits up to `wait` for changes behind a revision.
+    //! Waits up to `wait` for changes after a revision.
     net::Task<WatchResult> watch( std::string_view kind, std::uint64_t revision, Millis wait );
 
     std::uint64_t calls() const noexcept { return m_calls; }
-    //! The newest era that the store has told of here; 0: none.
+    //! The newest era seen in the store's responses; 0 if none.
     std::uint64_t era() const noexcept { return m_era; }
 
-    //! Makes an object of `body`; ok too when it is there already.
+    //! Creates an object from `body`; also ok if the object already exists.
     net::Task<StoreStatus> create( std::string_view kind, std::string body, Millis limit );
     net::Task<StoreStatus> remove( std::string_view kind, std::string_view name, Millis limit );
 
 private:
     net::Task<net::JsonResponse> call( net::JsonCall call );
     net::Task<ListResult> listPages( std::string_view kind, Millis limit, ListAge age,
-                                     std::size_t most );
-    //! Takes note of an answer's era; false when the answer is of a former one.
-    bool takeEra( const net::JsonResponse& answer );
+                                     std::size_t maxPages );
+    //! Records the era of a response; false if the response is from an earlier era.
+    bool updateEra( const net::JsonResponse& response );
 
-    void count( std::string_view what, std::string_view kind ) const;
+    void count( std::string_view operation, std::string_view kind ) const;
 
     net::JsonClient m_http;
     metrics::Metrics* m_metrics;
--- a/src/platform/store_wire.cpp
+++ b/src/platform/store_wire.cpp
@@ -13,22 +13,22 @@
 using Json = nlohmann::json;
 
 constexpr unsigned char firstNonAscii = 0x80;
-//! Values of the platform lie some four deep. What lies deeper than this is left out: copying and
-//! writing JSON takes stack for each level, and an object of a megabyte may have half a million.
-constexpr int mostDepth = 32;
+//! Deeper JSON values are skipped: copying and writing JSON uses stack for each level, and an
+//! object of 1 MB may have 500,000 levels. The platform's own values have about 4.
+constexpr int maxJsonDepth = 32;
 
 int depthOf( std::string_view text ) {
     int depth = 0;
     int deepest = 0;
-    bool quoted = false;
+    bool inString = false;
     for( std::size_t n = 0; n < text.size(); ++n ) {
         const char it = text[n];
-        if( quoted ) {
+        if( inString ) {
             n += it == '\\' ? 1 : 0;
-            quoted = it != '"';
+            inString = it != '"';
             continue;
         }
-        quoted = it == '"';
+        inString = it == '"';
         depth += it == '[' || it == '{' ? 1 : it == ']' || it == '}' ? -1 : 0;
         deepest = std::max( deepest, depth );
     }
@@ -36,52 +36,51 @@
 }
 
 Json parseText( std::string_view text ) {
-    if( depthOf( text ) <= mostDepth ) {
+    if( depthOf( text ) <= maxJsonDepth ) {
         return Json::parse( text, nullptr, false );
     }
-    const auto shallow = []( int depth, Json::parse_event_t, Json& ) {
-        return depth <= mostDepth;
+    const auto withinDepth = []( int depth, Json::parse_event_t, Json& ) {
+        return depth <= maxJsonDepth;
     };
-    return Json::parse( text, shallow, false );
+    return Json::parse( text, withinDepth, false );
 }
 
-//! True when an escape sequence is one that stands for a character of its own.
-bool isPlainEscape( std::string_view rest ) {
+//! True if `rest` starts with a valid JSON escape sequence that is not half of a surrogate pair.
+bool isValidEscape( std::string_view rest ) {
     constexpr std::string_view known = "\"\\/bfnrtu";
     if( rest.size() < 2 || known.find( rest[1] ) == std::string_view::npos ) {
         return false;
     }
-    // Halves of a pair, which may stand alone.
-    const bool half =
+    // \ud800 to \udfff: surrogates, which may be unpaired.
+    const bool isSurrogate =
         rest[1] == 'u' && rest.size() > 3 && ( rest[2] == 'd' || rest[2] == 'D' ) && rest[3] > '7';
-    return !half;
+    return !isSurrogate;
 }
 
-//! The text with marks of replacement for what is no text: bytes beyond ASCII, and escapes that
-//! stand for no character.
-std::string cleaned( std::string_view text ) {
+//! Replaces bytes outside ASCII, and the backslash of invalid escapes and of surrogates, by '?'.
+std::string replaceInvalidText( std::string_view text ) {
     std::string out( text );
     for( std::size_t n = 0; n < out.size(); ++n ) {
-        const bool escapes = out[n] == '\\';
-        const bool sound = escapes ? isPlainEscape( std::string_view( out ).substr( n ) )
-                                   : static_cast<unsigned char>( out[n] ) < firstNonAscii;
-        if( !sound ) {
+        const bool isEscape = out[n] == '\\';
+        const bool valid = isEscape ? isValidEscape( std::string_view( out ).substr( n ) )
+                                    : static_cast<unsigned char>( out[n] ) < firstNonAscii;
+        if( !valid ) {
             out[n] = '?';
-        } else if( escapes ) {
+        } else if( isEscape ) {
             ++n;
         }
     }
     return out;
 }
 
-//! Parses the store's answer. Bytes of an object that are no text make the whole no JSON: then they
-//! are replaced, and only that object shows it.
-Json parseAnswer( std::string_view text ) {
+//! Parses the store's response. Invalid text in one object makes the whole response invalid JSON;
+//! it is then replaced, so that the other objects can be used.
+Json parseResponse( std::string_view text ) {
     auto out = parseText( text );
-    return out.is_discarded() ? parseText( cleaned( text ) ) : out;
+    return out.is_discarded() ? parseText( replaceInvalidText( text ) ) : out;
 }
 
-//! A whole number of a field; nullopt when it is none.
+//! The value of a field; nullopt if it is absent or not an unsigned integer.
 std::optional<std::uint64_t> numberOf( const Json& in, const char* name ) {
     const auto it = in.find( name );
     if( it == in.end() || !it->is_number_unsigned() ) {
@@ -112,13 +111,13 @@
 std::string listPath( std::string_view kind, std::string_view after, ListAge age ) {
     std::string out = "/objects/";
     out += kind;
-    char mark = '?';
+    char separator = '?';
     if( age == ListAge::secondsOld ) {
         out += "?isStale=1";
-        mark = '&';
+        separator = '&';
     }
     if( !after.empty() ) {
-        out += mark;
+        out += separator;
         out += "after=";
         out += after;
     }
@@ -195,7 +194,7 @@
 }
 
 std::optional<StorePage> readPage( std::string_view json ) {
-    const auto in = parseAnswer( json );
+    const auto in = parseResponse( json );
     const auto revision = in.is_object() ? numberOf( in, "timestamp" ) : std::nullopt;
     if( !revision || !in.contains( "items" ) || !in["items"].is_array() ) {
         return std::nullopt;
@@ -212,7 +211,7 @@
 }
 
 std::optional<StoreEvents> readEvents( std::string_view json ) {
-    const auto in = parseAnswer( json );
+    const auto in = parseResponse( json );
     const auto revision = in.is_object() ? numberOf( in, "timestamp" ) : std::nullopt;
     if( !revision || !in.contains( "events" ) || !in["events"].is_array() ) {
         return std::nullopt;
--- a/src/platform/store_wire.hpp
+++ b/src/platform/store_wire.hpp
@@ -12,21 +12,21 @@
 #include <string_view>
 #include <vector>
 
-//! The store's calls and objects. Others write to the store too: an object that can't be read is
-//! left out, and those beside it hold.
+//! Encoding of the store's calls and objects. Other systems also write to the store: an object that
+//! can't be parsed is skipped, and the other objects of the response are used.
 namespace coursehead::platform {
 
 struct StoreObject {
     std::string name;
-    std::uint64_t era = 0;      //!< of the answer that it came with
-    std::uint64_t revision = 0; //!< of the last change
-    std::uint64_t created = 0;  //!< revision at which it was made
+    std::uint64_t era = 0;      //!< era of the response that held the object
+    std::uint64_t revision = 0; //!< revision of the last change
+    std::uint64_t created = 0;  //!< revision of the creation
     std::string spec;           //!< JSON text
 };
 struct StorePage {
     std::vector<StoreObject> objects;
     bool more = false;
-    std::uint64_t revision = 0; //!< of the store, at the time of the page
+    std::uint64_t revision = 0; //!< store revision at the time of the page
 };
 struct StoreEvent {
     StoreObject object;
@@ -34,35 +34,35 @@
 };
 struct StoreEvents {
     std::vector<StoreEvent> events;
-    std::uint64_t revision = 0; //!< where the next watch goes on
+    std::uint64_t revision = 0; //!< start of the next watch
 };
-//! Halls that are emptied: an object each, named like the hall. The operator's.
+//! Evacuated halls: one object per hall, with the hall's name. Written by the operator.
 inline constexpr std::string_view evacuationKind = "evacuations";
 
-// Quarantined contents, objects of the product's own.
+// Quarantined contents. Written by coursehead.
 
 inline constexpr std::string_view quarantineKind = "quarantines";
-//! Each quarantine is an object of its own: a later one of the same content has another name.
+//! Each quarantine is a separate object: a later quarantine of the same content has another name.
 std::string quarantineName( const decide::Quarantine& quarantine );
-//! The body of a call that makes the object.
+//! The body of the call that creates a quarantine's object.
 std::string encodeQuarantine( const decide::Quarantine& quarantine, WallMillis now );
-//! What is left of a quarantine; `holdMs` is negative when it has ended. The reason why it can't be
-//! read in `problem`.
+//! Parses a quarantine. `holdMs` of the result is the remaining time, negative if the quarantine
+//! has ended. On failure, `problem` holds the reason.
 std::optional<decide::Quarantine> readQuarantine( const StoreObject& object, WallMillis now,
                                                   std::string& problem );
 
-//! The body of a call that makes an object of what one had.
+//! The body of the call that creates a copy of an object.
 std::string encodeObject( const StoreObject& object );
 
-//! Header in which the store says how often it has come back from a copy.
+//! Header with the number of times that the store was restored from a backup.
 inline constexpr std::string_view eraHeader = "Store-Era";
-//! Reads that header; nullopt when it is no whole number.
+//! Parses the value of that header; nullopt if it is not a whole number.
 std::optional<std::uint64_t> readEra( std::string_view text );
 
-//! How a listing may be answered.
+//! How old the content of a listing may be.
 enum class ListAge {
     now,
-    secondsOld, //!< at a tenth of the price, outside the store's rate
+    secondsOld, //!< costs a tenth of a current listing, outside the store's rate limit
 };
 std::string listPath( std::string_view kind, std::string_view after, ListAge age );
 std::string watchPath( std::string_view kind, std::uint64_t revision, Millis wait );
--- a/src/platform/vm.cpp
+++ b/src/platform/vm.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-bool readRole( const std::string& word, VmRole& out ) {
-    if( word == "entry" ) {
+bool readRole( const std::string& text, VmRole& out ) {
+    if( text == "entry" ) {
         out = VmRole::entry;
-    } else if( word == "runner" ) {
+    } else if( text == "runner" ) {
         out = VmRole::runner;
-    } else if( word == "service" ) {
+    } else if( text == "service" ) {
         out = VmRole::service;
     } else {
         return false;
--- a/src/platform/watcher.cpp
+++ b/src/platform/watcher.cpp
@@ -38,28 +38,28 @@
     return m_stopping;
 }
 
-bool Watcher::fresh() const {
+bool Watcher::lastCallSucceeded() const {
     const std::lock_guard lock( m_mutex );
-    return m_fresh;
+    return m_lastCallSucceeded;
 }
 
 void Watcher::run() {
-    auto delay = m_settings.firstRetry;
+    auto delay = m_settings.initialRetryDelay;
     bool listed = false;
     while( !stopping() ) {
-        const bool ok = listed ? follow() : list();
+        const bool ok = listed ? watchChanges() : list();
         {
             const std::lock_guard lock( m_mutex );
-            m_fresh = ok;
+            m_lastCallSucceeded = ok;
         }
         if( ok ) {
             listed = true;
-            delay = m_settings.firstRetry;
+            delay = m_settings.initialRetryDelay;
             continue;
         }
         listed = false;
-        pause( delay );
-        delay = std::min( delay * 2, m_settings.lastRetry );
+        waitBeforeRetry( delay );
+        delay = std::min( delay * 2, m_settings.maxRetryDelay );
     }
 }
 
@@ -84,13 +84,13 @@
     return true;
 }
 
-bool Watcher::follow() {
+bool Watcher::watchChanges() {
     bool ok = false;
     const auto error = attemptVoid(
         [this] {
             return m_store.watch(
                 m_topic, m_version, m_settings.wait,
-                [this]( const WatchEvent& event ) { return take( event ); }, m_control );
+                [this]( const WatchEvent& event ) { return applyEvent( event ); }, m_control );
         },
         ok );
     if( !ok && !stopping() ) {
@@ -100,7 +100,7 @@
     return ok;
 }
 
-bool Watcher::take( const WatchEvent& event ) {
+bool Watcher::applyEvent( const WatchEvent& event ) {
     if( stopping() ) {
         return false;
     }
@@ -121,7 +121,7 @@
     return true;
 }
 
-void Watcher::pause( Millis delay ) {
+void Watcher::waitBeforeRetry( Millis delay ) {
     const auto jittered =
         delay / 2 + Millis( m_random.below( static_cast<std::uint64_t>( delay.count() ) ) );
     std::unique_lock lock( m_mutex );
--- a/src/platform/wire.cpp
+++ b/src/platform/wire.cpp
@@ -48,8 +48,8 @@
     return out;
 }
 
-//! Adapters on their way read MODEL/NAME@VERSION; the version is dropped.
-std::vector<std::string> readComing( const Json& in ) {
+//! Reads the adapters being loaded, given as MODEL/NAME@VERSION; drops the version.
+std::vector<std::string> readLoadingAdapters( const Json& in ) {
     auto out = readNames( in );
     for( auto& it : out ) {
         it.resize( std::min( it.size(), it.find( '@' ) ) );
@@ -57,7 +57,7 @@
     return out;
 }
 
-//! Each run reads [id, tokens in memory, events made, priority].
+//! Reads runs, each given as [id, tokens in memory, number of events, priority].
 std::vector<gateway::EngineRun> readRuns( const Json& in ) {
     constexpr std::size_t idIndex = 0;
     constexpr std::size_t eventsIndex = 2;
@@ -75,31 +75,32 @@
     return out;
 }
 
-//! Always a whole number, where it is told.
-gateway::StartTime bornOf( const Json& in ) {
+//! The start time of an upstream or engine, a whole number; 0 if it is absent.
+gateway::StartTime startTimeOf( const Json& in ) {
     const auto it = in.find( "born" );
     return it == in.end() ? gateway::StartTime{ 0 } : it->get<gateway::StartTime>();
 }
 
 EngineReport reportOf( const Json& in ) {
     EngineReport out;
-    out.born = bornOf( in );
+    out.born = startTimeOf( in );
     out.residents = readResidents( in.value( "models", Json::array() ) );
-    out.loadingAdapters = readComing( in.value( "coming", Json::array() ) );
+    out.loadingAdapters = readLoadingAdapters( in.value( "coming", Json::array() ) );
     const auto available = in.value( "available", Json::object() );
     if( available.is_object() ) {
         out.onDisk = readNames( available.value( "onDisk", Json::array() ) );
         out.inMemory = readNames( available.value( "inMemory", Json::array() ) );
     }
-    out.orderInProgress = in.value( "busySlots", false ); // says that an order is under way
+    out.orderInProgress = in.value( "busySlots", false ); // true while an order is in progress
     out.sequence = in.value( "sequence", std::uint64_t{ 0 } );
     out.queued = in.value( "queuedRequests", std::uint32_t{ 0 } );
     out.running = in.value( "activeRequests", std::uint32_t{ 0 } );
     out.runs = readRuns( in.value( "runs", Json::array() ) );
-    // A request is listed under `runs` from its first event on: the others are being read.
-    const auto reads = std::count_if( out.runs.begin(), out.runs.end(),
-                                      []( const auto& it ) { return it.events > 0; } );
-    const auto streaming = std::min( out.running, static_cast<std::uint32_t>( reads ) );
+    // The engine lists a request under `runs` from its first event on. The other active requests
+    // are still reading their prompt.
+    const auto streamingRuns = std::count_if( out.runs.begin(), out.runs.end(),
+                                              []( const auto& it ) { return it.events > 0; } );
+    const auto streaming = std::min( out.running, static_cast<std::uint32_t>( streamingRuns ) );
     out.prefilling = out.running - streaming;
     out.cacheUsed = in.value( "cacheUsed", std::int64_t{ 0 } );
     out.cacheTotal = in.value( "cacheTotal", std::int64_t{ 0 } );
@@ -108,12 +109,12 @@
 
 } // namespace
 
-//! A state that this product does not know is not taken for one that it does.
-std::optional<gateway::UpstreamState> readState( std::string_view word ) {
-    if( word == "ready" ) {
+//! Returns nullopt for an unknown state, so that it is not mistaken for a known one.
+std::optional<gateway::UpstreamState> readState( std::string_view text ) {
+    if( text == "ready" ) {
         return gateway::UpstreamState::ready;
     }
-    if( word == "draining" ) {
+    if( text == "draining" ) {
         return gateway::UpstreamState::draining;
     }
     return std::nullopt;
@@ -140,10 +141,10 @@
             problem = "slots = " + in["slots"].dump() + ": expected a whole number, 1 or more";
             return std::nullopt;
         }
-        const auto word = in.at( "state" ).get<std::string>();
-        const auto state = readState( word );
+        const auto text = in.at( "state" ).get<std::string>();
+        const auto state = readState( text );
         if( !state ) {
-            problem = "state = " + word + ": expected ready or draining";
+            problem = "state = " + text + ": expected ready or draining";
             return std::nullopt;
         }
         out.state = *state;
@@ -151,7 +152,7 @@
             problem = "born = " + in["born"].dump() + ": expected a whole number";
             return std::nullopt;
         }
-        out.born = bornOf( in );
+        out.born = startTimeOf( in );
         if( in.contains( "remainingMs" ) && in["remainingMs"].is_number() ) {
             out.remaining = Millis( in["remainingMs"].get<std::int64_t>() );
         }
--- a/src/platform/wire.hpp
+++ b/src/platform/wire.hpp
@@ -10,48 +10,48 @@
 #include <string_view>
 #include <vector>
 
-//! The platform's messages: decoded into the product's types, and encoded from them.
+//! Conversion between the platform's messages and coursehead's types.
 namespace coursehead::platform {
 
 // Configuration and the list of upstreams.
 
-//! The objects that the operator and the upstreams write.
+//! Kinds and names of the objects that the operator and the upstreams write.
 inline constexpr std::string_view configurationKind = "config";
 inline constexpr std::string_view configurationName = "main";
 inline constexpr std::string_view upstreamKind = "servers";
 
-//! Reads a configuration; the reason why not in `problem`.
+//! Parses a configuration. On failure, `problem` holds the reason.
 std::optional<gateway::Configuration> readConfiguration( std::string_view json,
                                                          std::string& problem );
-//! Reads an upstream's entry; the reason why not in `problem`.
+//! Parses an upstream's entry. On failure, `problem` holds the reason.
 std::optional<gateway::Upstream> readUpstream( std::string_view id, std::string_view json,
                                                std::string& problem );
 
 // Engines.
 
-//! Reads an engine's report of itself.
+//! Parses an engine's report.
 std::optional<gateway::EngineReport> readEngineReport( std::string_view json );
 
 enum class OrderKind { load, unload };
-//! An order to an engine; for an adapter when `adapter` is not empty.
+//! An order to an engine to load or unload a model, or an adapter if `adapter` is not empty.
 struct Order {
     OrderKind kind = OrderKind::load;
     std::string model;
     std::string adapter;
-    std::uint64_t expectedSequence = 0; //!< refused unless this many orders were taken before
+    std::uint64_t expectedSequence = 0; //!< refused unless the engine has accepted this many orders
     std::string holder;
     std::uint64_t fence = 0;
 };
 std::string encodeOrder( const Order& order );
 
 enum class OrderVerdict {
-    underWay, //!< taken, being carried out
-    holds,    //!< done already
-    conflict, //!< another order is under way, or the sequence differs
+    underWay, //!< accepted and in progress
+    holds,    //!< the model or adapter is already in the requested state
+    conflict, //!< another order is in progress, or the sequence differs
     fenced,   //!< a higher fencing token was seen
     refused,  //!< malformed
-    moved,    //!< meant for another start of the engine
-    unknown,  //!< no answer: it may be carried out, also later
+    moved,    //!< the order was for another start of the engine process
+    unknown,  //!< no response: the engine may carry out the order, also later
 };
 OrderVerdict orderVerdict( unsigned status );
 //! The verdict's name in logs.
--- a/tests/unit/kernel.tests.cpp
+++ b/tests/unit/kernel.tests.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-const char* noEnvironment( const char* ) {
+const char* emptyEnvironment( const char* ) {
     return nullptr;
 }
 
-const char* someEnvironment( const char* name ) {
+const char* environmentWithLimit( const char* name ) {
     return std::string_view( name ) == "COURSEHEAD_LIMIT" ? "7" : nullptr;
 }
 
@@ -76,27 +76,30 @@
 
 TEST_CASE( "Every bad setting is named with its value", "[settings]" ) {
     const std::vector<std::string> args{ "--limit", "11", "--listen", "nowhere", "--store", "ftp" };
-    const auto parsed = settings::parse( "entry", specs, args, noEnvironment );
+    const auto parsed = settings::parse( "entry", specs, args, emptyEnvironment );
     REQUIRE( parsed.problems.size() == 3 );
     CHECK( parsed.problems[0].find( "--limit (COURSEHEAD_LIMIT) = '11'" ) == 0 );
     CHECK( parsed.problems[1].find( "nowhere" ) != std::string::npos );
 }
 
 TEST_CASE( "A flag wins over the environment, which wins over the default", "[settings]" ) {
-    CHECK( settings::parse( "entry", specs, {}, noEnvironment ).settings.number( "limit" ) == 5 );
-    CHECK( settings::parse( "entry", specs, {}, someEnvironment ).settings.number( "limit" ) == 7 );
+    CHECK( settings::parse( "entry", specs, {}, emptyEnvironment ).settings.number( "limit" ) ==
+           5 );
+    CHECK( settings::parse( "entry", specs, {}, environmentWithLimit ).settings.number( "limit" ) ==
+           7 );
     const std::vector<std::string> args{ "--limit", "9" };
-    CHECK( settings::parse( "entry", specs, args, someEnvironment ).settings.number( "limit" ) ==
-           9 );
+    CHECK(
+        settings::parse( "entry", specs, args, environmentWithLimit ).settings.number( "limit" ) ==
+        9 );
 }
 
 TEST_CASE( "A setting given twice or unknown is an error, and secrets are not printed",
            "[settings][hostile]" ) {
-    const std::vector<std::string> twice{ "--limit", "3", "--limit", "4" };
-    CHECK( settings::parse( "entry", specs, twice, noEnvironment ).problems.size() == 1 );
-    const std::vector<std::string> unknown{ "--nothing", "3" };
-    CHECK( settings::parse( "entry", specs, unknown, noEnvironment ).problems.size() == 1 );
-    const auto printed = settings::parse( "entry", specs, {}, noEnvironment ).settings.print();
+    const std::vector<std::string> repeatedFlag{ "--limit", "3", "--limit", "4" };
+    CHECK( settings::parse( "entry", specs, repeatedFlag, emptyEnvironment ).problems.size() == 1 );
+    const std::vector<std::string> unknownFlag{ "--nothing", "3" };
+    CHECK( settings::parse( "entry", specs, unknownFlag, emptyEnvironment ).problems.size() == 1 );
+    const auto printed = settings::parse( "entry", specs, {}, emptyEnvironment ).settings.print();
     CHECK( printed.find( "secret" ) == std::string::npos );
     CHECK( printed.find( "limit=5" ) != std::string::npos );
 }
@@ -108,25 +111,25 @@
 
 TEST_CASE( "The pool refuses a task past its limit and runs what it queued", "[kernel][pool]" ) {
     ElasticPool pool( 1 );
-    std::mutex gate;
-    std::atomic<int> done{ 0 };
-    gate.lock();
+    std::mutex taskMutex;
+    std::atomic<int> finishedTasks{ 0 };
+    taskMutex.lock();
     REQUIRE( pool.tryRun( [&] {
-        const std::lock_guard lock( gate );
-        ++done;
+        const std::lock_guard lock( taskMutex );
+        ++finishedTasks;
     } ) );
-    CHECK_FALSE( pool.tryRun( [&] { ++done; } ) );
-    pool.run( [&] { ++done; } );
-    gate.unlock();
+    CHECK_FALSE( pool.tryRun( [&] { ++finishedTasks; } ) );
+    pool.run( [&] { ++finishedTasks; } );
+    taskMutex.unlock();
     pool.shutdown();
-    CHECK( done == 2 );
+    CHECK( finishedTasks == 2 );
 }
 
 TEST_CASE( "Ages and leases count the time in which the VM was suspended", "[kernel][clock]" ) {
     const auto bootTime = [] {
-        timespec read{};
-        ::clock_gettime( CLOCK_BOOTTIME, &read );
-        return std::chrono::seconds( read.tv_sec ) + std::chrono::nanoseconds( read.tv_nsec );
+        timespec time{};
+        ::clock_gettime( CLOCK_BOOTTIME, &time );
+        return std::chrono::seconds( time.tv_sec ) + std::chrono::nanoseconds( time.tv_nsec );
     };
     const auto before = bootTime();
     const auto now = MonoClock::now().time_since_epoch();
--- a/tests/unit/platform.tests.cpp
+++ b/tests/unit/platform.tests.cpp
@@ -50,14 +50,14 @@
 
 TEST_CASE( "A settings file is read, and fields it does not know are passed over",
            "[platform][settings]" ) {
-    const auto read = platform::parseNodeSettings( goodSettings );
-    REQUIRE( read.problems.empty() );
-    CHECK( read.settings.vm == "front-1" );
-    CHECK( read.settings.front.port == 8149 );
-    CHECK( read.settings.lastPort == 7395 );
-    CHECK( read.settings.bounds.grace == 8000ms );
-    CHECK( read.settings.bounds.drain == 2500ms );
-    CHECK_FALSE( read.settings.engine.valid() );
+    const auto parsed = platform::parseNodeSettings( goodSettings );
+    REQUIRE( parsed.problems.empty() );
+    CHECK( parsed.settings.vm == "front-1" );
+    CHECK( parsed.settings.front.port == 8149 );
+    CHECK( parsed.settings.lastPort == 7395 );
+    CHECK( parsed.settings.bounds.grace == 8000ms );
+    CHECK( parsed.settings.bounds.drain == 2500ms );
+    CHECK_FALSE( parsed.settings.engine.valid() );
 }
 
 TEST_CASE( "Every bad field of a settings file is named with its value", "[platform][settings]" ) {
@@ -66,16 +66,16 @@
     json["listen"]["front"] = "127.0.0.1";
     json["platform"].erase( "address" );
     json["bounds"]["graceS"] = "long";
-    const auto read = platform::parseNodeSettings( json.dump() );
-    REQUIRE( read.problems.size() == 4 );
-    std::string all;
-    for( const auto& it : read.problems ) {
-        all += it + "\n";
+    const auto parsed = platform::parseNodeSettings( json.dump() );
+    REQUIRE( parsed.problems.size() == 4 );
+    std::string allProblems;
+    for( const auto& it : parsed.problems ) {
+        allProblems += it + "\n";
     }
-    CHECK( all.find( "internalPorts = [9,3]" ) != std::string::npos );
-    CHECK( all.find( "listen.front = \"127.0.0.1\"" ) != std::string::npos );
-    CHECK( all.find( "platform.address = (missing)" ) != std::string::npos );
-    CHECK( all.find( "bounds.graceS = \"long\"" ) != std::string::npos );
+    CHECK( allProblems.find( "internalPorts = [9,3]" ) != std::string::npos );
+    CHECK( allProblems.find( "listen.front = \"127.0.0.1\"" ) != std::string::npos );
+    CHECK( allProblems.find( "platform.address = (missing)" ) != std::string::npos );
+    CHECK( allProblems.find( "bounds.graceS = \"long\"" ) != std::string::npos );
 }
 
 TEST_CASE( "A settings file that is no JSON object is a problem, not a crash",
@@ -86,19 +86,19 @@
 
 TEST_CASE( "A configuration is decoded into routes, services and limits", "[platform][wire]" ) {
     std::string problem;
-    const auto read = platform::readConfiguration( configuration, problem );
-    REQUIRE( read );
-    CHECK( read->version == 7 );
-    REQUIRE( read->routes.size() == 2 );
-    CHECK( read->routes[0].kind == gateway::RequestKind::stream );
-    CHECK( read->routes[0].idempotent() );
-    CHECK( read->routes[0].splits.size() == 2 );
-    CHECK( read->routes[1].kind == gateway::RequestKind::once );
-    CHECK_FALSE( read->routes[1].idempotent() );
-    REQUIRE( read->services.at( "s1" ).engine );
-    CHECK( read->services.at( "s1" ).engine->find( "m1" )->diskLoad == 760ms );
-    CHECK_FALSE( read->services.at( "s2" ).engine );
-    CHECK( read->limits.idleTime == 15000ms );
+    const auto parsed = platform::readConfiguration( configuration, problem );
+    REQUIRE( parsed );
+    CHECK( parsed->version == 7 );
+    REQUIRE( parsed->routes.size() == 2 );
+    CHECK( parsed->routes[0].kind == gateway::RequestKind::stream );
+    CHECK( parsed->routes[0].idempotent() );
+    CHECK( parsed->routes[0].splits.size() == 2 );
+    CHECK( parsed->routes[1].kind == gateway::RequestKind::once );
+    CHECK_FALSE( parsed->routes[1].idempotent() );
+    REQUIRE( parsed->services.at( "s1" ).engine );
+    CHECK( parsed->services.at( "s1" ).engine->find( "m1" )->diskLoad == 760ms );
+    CHECK_FALSE( parsed->services.at( "s2" ).engine );
+    CHECK( parsed->limits.idleTime == 15000ms );
 }
 
 TEST_CASE( "A configuration that lacks a field is refused with the reason", "[platform][wire]" ) {
@@ -109,15 +109,15 @@
 
 TEST_CASE( "An upstream's entry tells its state and how long it still lives", "[platform][wire]" ) {
     std::string problem;
-    const auto read = platform::readUpstream(
+    const auto parsed = platform::readUpstream(
         "i-1",
         R"({"service":"s1","address":"127.0.0.1:80","zone":"z","slots":64,"state":"draining",
             "remainingMs":1700,"models":[{"name":"m1","version":1,"adapters":["a1"]}]})",
         problem );
-    REQUIRE( read );
-    CHECK( read->state == gateway::UpstreamState::draining );
-    CHECK( read->remaining == 1700ms );
-    CHECK( read->residents[0].adapters == std::vector<std::string>{ "a1" } );
+    REQUIRE( parsed );
+    CHECK( parsed->state == gateway::UpstreamState::draining );
+    CHECK( parsed->remaining == 1700ms );
+    CHECK( parsed->residents[0].adapters == std::vector<std::string>{ "a1" } );
     CHECK_FALSE(
         platform::readUpstream( "i-2", R"({"service":"s","address":"nowhere"})", problem ) );
 }
@@ -168,7 +168,7 @@
     REQUIRE( report );
     CHECK( report->orderInProgress );
     CHECK( report->sequence == 3 );
-    // Five are active, and one of them has made events.
+    // Five requests are active, and one of them has produced events.
     CHECK( report->prefilling == 4 );
     CHECK( report->loadingAdapters == std::vector<std::string>{ "m1/a2" } );
     CHECK( report->onDisk == std::vector<std::string>{ "m2" } );
@@ -222,7 +222,7 @@
     std::ofstream( path ) << "{\"a\":2}";
     CHECK( watch.changed() );
     CHECK_FALSE( watch.changed() );
-    // One that is gone, or empty while it is written, is no change.
+    // A file that is missing, or empty while it is being written, counts as unchanged.
     std::ofstream( path ) << "";
     CHECK_FALSE( watch.changed() );
     std::remove( path.c_str() );
