--- a/src/platform/headers.cpp
+++ b/src/platform/headers.cpp
@@ -136,11 +136,11 @@
     for( auto it = begin; it != end; ++it ) {
         const std::string_view text( it->value() );
         const auto backoff = readSeconds( text );
-        auto& longest = out.announcement.backoff;
+        auto& longestBackoff = out.announcement.backoff;
         if( !backoff ) {
             out.badField = formatField( retryAfterHeader, text );
-        } else if( !longest || *longest < *backoff ) {
-            longest = backoff;
+        } else if( !longestBackoff || *longestBackoff < *backoff ) {
+            longestBackoff = backoff;
         }
     }
 }
--- a/src/platform/http_store.cpp
+++ b/src/platform/http_store.cpp
@@ -138,14 +138,14 @@
     return out;
 }
 
-EventType eventType( const std::string& name ) {
-    if( name == "ADDED" ) {
+EventType eventType( const std::string& typeName ) {
+    if( typeName == "ADDED" ) {
         return EventType::added;
     }
-    if( name == "DELETED" ) {
+    if( typeName == "DELETED" ) {
         return EventType::removed;
     }
-    return name == "BOOKMARK" ? EventType::bookmark : EventType::modified;
+    return typeName == "BOOKMARK" ? EventType::bookmark : EventType::modified;
 }
 
 //! Splits a watch's stream into lines and passes each to the handler as an event. feed() returns
@@ -205,20 +205,20 @@
         request.query["fieldSelector"] = "metadata.name=" + topic.name;
     }
     http::Client client( url, { callTimeouts.connect, wait + watchSlack } );
-    EventStreamParser parser( topic.kind, handler );
+    EventStreamParser eventParser( topic.kind, handler );
     bool ended = false;
     int status = 0;
     control.bind( [&client] { client.abort(); } );
     const auto outcome = client.stream( request, [&]( int code, std::string_view bytes ) {
         status = code;
-        ended = code != 200 || !parser.feed( bytes );
+        ended = code != 200 || !eventParser.feed( bytes );
         return !ended;
     } );
     control.unbind();
     if( status >= 300 ) {
         return fail( stats, failureOf( status ), "status " + std::to_string( status ) );
     }
-    if( parser.expired() ) {
+    if( eventParser.expired() ) {
         return fail( stats, StoreFailure::expired, "the start version of the watch is too old" );
     }
     if( outcome.failure != http::Failure::none && !ended ) {
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -193,7 +193,7 @@
 
 namespace {
 
-std::optional<std::string> readFile( const std::string& path ) {
+std::optional<std::string> readTextFile( const std::string& path ) {
     std::ifstream in( path );
     if( path.empty() || !in ) {
         return std::nullopt;
@@ -206,7 +206,7 @@
 } // namespace
 
 ParsedNodeSettings readNodeSettings( const std::string& path ) {
-    const auto text = readFile( path );
+    const auto text = readTextFile( path );
     if( !text ) {
         ParsedNodeSettings out;
         out.problems.push_back( "COURSEHEAD_NODE_FILE = '" + path + "': cannot be read" );
@@ -216,10 +216,10 @@
 }
 
 SettingsWatch::SettingsWatch( std::string path )
-    : m_path( std::move( path ) ), m_hash( hash64( readFile( m_path ).value_or( "" ) ) ) {}
+    : m_path( std::move( path ) ), m_hash( hash64( readTextFile( m_path ).value_or( "" ) ) ) {}
 
 bool SettingsWatch::changed() {
-    const auto text = readFile( m_path );
+    const auto text = readTextFile( m_path );
     if( !text || text->empty() || hash64( *text ) == m_hash ) {
         return false;
     }
