--- a/src/platform/node_settings.hpp
+++ b/src/platform/node_settings.hpp
@@ -44,7 +44,7 @@
     double quotaSlack = 0;              //!< tolerated excess in units, in addition
     bool fencingRequired = false;       //!< upstreams check fencing tokens
     Millis evacuation{ 0 };    //!< time limit to stop sending to an evacuated hall; 0: disabled
-    double coldRateFactor = 0; //!< factor on the rate that a cold upstream announces
+    double coldRateFactor = 0; //!< factor on the service's rate for cold upstreams
     double coldRateSlack = 0;  //!< requests per second allowed in addition
 };
 
