--- a/src/gateway/fleet.cpp
+++ b/src/gateway/fleet.cpp
@@ -151,7 +151,7 @@
             m_onLimitUpdate( update );
         }
     };
-    out.news = [this, id]( const StoreUpdate& update ) {
+    out.storeUpdate = [this, id]( const StoreUpdate& update ) {
         if( m_onStoreUpdate ) {
             m_onStoreUpdate( id, update );
         }
--- a/src/gateway/fleet_demand.cpp
+++ b/src/gateway/fleet_demand.cpp
@@ -61,7 +61,7 @@
     }
     node.adaptersUsed.clear();
     out.sentParts = std::exchange( node.sentParts, {} );
-    out.reading = node.reading.ownShare( now );
+    out.readingShare = node.reading.ownShare( now );
     out.gateways = gateways();
     return out;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -53,8 +53,8 @@
             m_limits.applyUpdate( update, MonoClock::now() );
         } );
         m_shared.listed = false;
-        m_clientAcceptor = std::make_unique<net::Acceptor>(
-            net::listen( m_context, m_settings.front.ip, m_settings.front.port ) );
+        m_clientAcceptor = std::make_unique<net::Acceptor>( net::listen(
+            m_context, m_settings.clientEndpoint.ip, m_settings.clientEndpoint.port ) );
         auto ready = net::listen( m_context, m_settings.ready.ip, m_settings.ready.port );
         auto metrics = net::listen( m_context, m_settings.ip, m_settings.metricsPort );
         net::start( m_context, acceptClients(), "accept" );
@@ -71,7 +71,7 @@
         m_feed.start();
         net::start( m_context, ticks(), "ticks" );
         net::start( m_context, handleSignals(), "signals" );
-        log::info( "started", { { "front", m_settings.front.text() },
+        log::info( "started", { { "front", m_settings.clientEndpoint.text() },
                                 { "hall", m_settings.hall },
                                 { "store", m_settings.store.text() } } );
         m_context.run();
--- a/src/gateway/messages.cpp
+++ b/src/gateway/messages.cpp
@@ -206,13 +206,13 @@
 }
 
 void to_json( Json& out, const DemandUpdate& in ) {
-    out = Json::array( { in.models, in.sentParts, in.reading, in.gateways } );
+    out = Json::array( { in.models, in.sentParts, in.readingShare, in.gateways } );
 }
 
 void from_json( const Json& in, DemandUpdate& out ) {
     out.models = in.at( 0 ).get<std::vector<ModelDemand>>();
     out.sentParts = in.at( 1 ).get<std::vector<SentPart>>();
-    out.reading = in.at( 2 ).get<double>();
+    out.readingShare = in.at( 2 ).get<double>();
     out.gateways = in.at( 3 ).get<int>();
 }
 
@@ -269,14 +269,14 @@
 }
 
 void to_json( Json& out, const PendingPrompt& in ) {
-    out = Json::array( { in.tokens, in.msPerToken, in.goalMs, in.late, in.parts } );
+    out = Json::array( { in.tokens, in.msPerToken, in.goalMs, in.mayStartLate, in.parts } );
 }
 
 void from_json( const Json& in, PendingPrompt& out ) {
     out.tokens = in.at( 0 ).get<std::int64_t>();
     out.msPerToken = in.at( 1 ).get<double>();
     out.goalMs = in.at( 2 ).get<std::int64_t>();
-    out.late = in.at( 3 ).get<bool>();
+    out.mayStartLate = in.at( 3 ).get<bool>();
     out.parts = in.at( 4 ).get<std::vector<PendingPromptPart>>();
 }
 
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -54,7 +54,7 @@
     double msPerToken = 0;   //!< prompt reading time of the model, as the gateway measured it
     //! Prompt reading has to start within this time for the answer to be on time.
     std::int64_t goalMs = 0;
-    bool late = false; //!< reading may also start after the goal, within the request's limit
+    bool mayStartLate = false; //!< may start after the goal, within the request's limit
     std::vector<PendingPromptPart> parts;
 };
 
@@ -120,8 +120,8 @@
 struct DemandUpdate {
     std::vector<ModelDemand> models;
     std::vector<SentPart> sentParts; //!< parts sent since the last message, in order
-    double reading = 0; //!< share of the engine's time spent on reading this gateway's prompts
-    int gateways = 1;   //!< number of gateways that this one knows of, itself included
+    double readingShare = 0; //!< share of the engine's time spent on reading this gateway's prompts
+    int gateways = 1;        //!< number of gateways that this one knows of, itself included
 };
 
 //! Load figures of an engine, which change all the time.
--- a/src/gateway/prepare.cpp
+++ b/src/gateway/prepare.cpp
@@ -141,16 +141,16 @@
     out.prompt.goalMs = remaining( now, goalEnd ).count();
     // The prompt may be admitted after the goal if its model has to be loaded first, if other
     // sidecars could not admit it in time, or if the goal has passed.
-    out.prompt.late =
+    out.prompt.mayStartLate =
         !choice.holdsModel || m_sidecarRefusals >= maxInTimeRequests || out.prompt.goalMs == 0;
-    out.limitMs = remaining( now, out.prompt.late ? latestEnd : goalEnd ).count();
+    out.limitMs = remaining( now, out.prompt.mayStartLate ? latestEnd : goalEnd ).count();
     return out;
 }
 
 net::Task<Exchange::PrepareResult> Exchange::requestAdmission( Choice& choice ) {
     const auto requestedAt = MonoClock::now();
     auto request = admissionRequest( choice, requestedAt );
-    const bool late = request.prompt.late;
+    const bool late = request.prompt.mayStartLate;
     NodePtr node = choice.node;
     const auto answer = co_await m_shared.fleet.ensure( std::move( node ), std::move( request ) );
     logAdmission( choice, answer, requestedAt );
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using platform::AnswerClass;
+using platform::ResponseClass;
 
 constexpr unsigned firstNonSuccessStatus = 300;
 constexpr unsigned firstServerError = 500;
@@ -70,7 +70,7 @@
         head.urgency = urgency();
     }
     head.lastEventId = m_lastEvent;
-    const auto systemFields = platform::takeSendHead( head, fields );
+    const auto systemFields = platform::makeSendHeaders( head, fields );
     std::string out = m_request.method + " " + m_request.target + " HTTP/1.1\r\n";
     appendForwarded( out, fields );
     appendForwarded( out, systemFields );
@@ -223,9 +223,9 @@
     }
     node.lastReceivedAt = MonoClock::now();
     const auto status = parser.get().result_int();
-    transfer.head = platform::readAnswerHead( status, parser.get() );
+    transfer.head = platform::readResponseHead( status, parser.get() );
     noteAnnouncement( transfer );
-    const bool ran = transfer.head.answerClass == AnswerClass::complete;
+    const bool ran = transfer.head.responseClass == ResponseClass::complete;
     if( ran && transfer.head.requestId != m_request.head.requestId ) {
         // The answer belongs to an earlier request: the connection can't be trusted any more.
         out.failure = "answer to another request";
@@ -243,9 +243,9 @@
 void Exchange::noteAnnouncement( const Transfer& transfer ) {
     const auto& head = transfer.head;
     Node& node = transfer.node;
-    if( !head.badField.empty() ) {
+    if( !head.unreadableField.empty() ) {
         log::warn( "announcement_unreadable",
-                   { { "upstream", node.upstream.id }, { "field", head.badField } } );
+                   { { "upstream", node.upstream.id }, { "field", head.unreadableField } } );
     }
     const bool fromAnotherUpstream =
         !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
@@ -377,7 +377,7 @@
     if( !head.actualUpstream.empty() && head.actualUpstream != transfer.node.upstream.id ) {
         transfer.node.replaced = true;
     }
-    if( head.answerClass != AnswerClass::complete ) {
+    if( head.responseClass != ResponseClass::complete ) {
         out.end = SendOutcome::notRun;
         out.failure = "status " + std::to_string( whole.status );
         co_return out;
--- a/src/gateway/sidecar_link.cpp
+++ b/src/gateway/sidecar_link.cpp
@@ -260,9 +260,9 @@
         m_handlers.load( load->load );
     }
     const auto* storeUpdate = std::get_if<StoreUpdate>( &*message );
-    if( storeUpdate != nullptr && m_handlers.news ) {
+    if( storeUpdate != nullptr && m_handlers.storeUpdate ) {
         // The handler may replace this link's handlers while it runs, so a copy is called.
-        const auto handler = m_handlers.news;
+        const auto handler = m_handlers.storeUpdate;
         handler( *storeUpdate );
     }
     const auto* quarantines = std::get_if<decide::QuarantineUpdate>( &*message );
--- a/src/gateway/sidecar_link.hpp
+++ b/src/gateway/sidecar_link.hpp
@@ -34,7 +34,7 @@
         std::function<void()> connected;
         std::function<void( const SidecarReport& report )> report;
         std::function<void( const EngineLoad& load )> load;
-        std::function<void( const StoreUpdate& update )> news;
+        std::function<void( const StoreUpdate& update )> storeUpdate;
         std::function<void( const decide::QuarantineUpdate& update )> quarantines;
         std::function<void( const decide::LimitUpdate& update )> limits;
     };
--- a/src/gateway/store_feed_relay.cpp
+++ b/src/gateway/store_feed_relay.cpp
@@ -120,7 +120,7 @@
     const auto until = startedAt + startupRelayLimit;
     auto link = std::make_shared<SidecarLink>( m_context, upstream.ip, m_settings.firstPort );
     SidecarLink::Handlers handlers;
-    handlers.news = [this, id = upstream.id]( const StoreUpdate& update ) {
+    handlers.storeUpdate = [this, id = upstream.id]( const StoreUpdate& update ) {
         applyUpdate( id, update );
     };
     link->setHandlers( std::move( handlers ) );
--- a/src/gateway/transfer.hpp
+++ b/src/gateway/transfer.hpp
@@ -84,7 +84,7 @@
     net::SocketDeadline deadline;
     std::shared_ptr<WriteState> write = std::make_shared<WriteState>();
     http::response_parser<http::buffer_body> parser;
-    platform::AnswerHead head;
+    platform::ResponseHead head;
     bool receivedEvents = false;
     std::string buf; //!< the part of the body that was last read
 
--- a/src/net/json_client.cpp
+++ b/src/net/json_client.cpp
@@ -65,7 +65,7 @@
     if( !connected ) {
         co_return out;
     }
-    out.end = CallOutcome::unknown;
+    out.outcome = CallOutcome::unknown;
     const auto request = makeRequest( call, m_ip );
     http::response_parser<http::string_body> parser;
     parser.body_limit( maxAnswerBytes );
@@ -82,7 +82,7 @@
         disconnect();
         co_return out;
     }
-    out.end = CallOutcome::answered;
+    out.outcome = CallOutcome::answered;
     out.status = parser.get().result_int();
     out.body = std::move( parser.get().body() );
     if( !call.responseHeader.empty() ) {
@@ -98,7 +98,7 @@
     const auto deadline = MonoClock::now() + call.limit;
     const bool reused = m_socket != nullptr;
     auto out = co_await callOnce( call, deadline );
-    const bool retry = reused && out.end == CallOutcome::unknown && call.method == "GET" &&
+    const bool retry = reused && out.outcome == CallOutcome::unknown && call.method == "GET" &&
                        MonoClock::now() < deadline;
     if( retry ) {
         out = co_await callOnce( call, deadline );
--- a/src/net/json_client.hpp
+++ b/src/net/json_client.hpp
@@ -31,7 +31,7 @@
 };
 
 struct JsonResponse {
-    CallOutcome end = CallOutcome::notSent;
+    CallOutcome outcome = CallOutcome::notSent;
     unsigned status = 0;
     std::string body;
     std::string responseHeader; //!< value of the header that the call named
--- a/src/platform/headers.cpp
+++ b/src/platform/headers.cpp
@@ -131,21 +131,21 @@
 }
 
 //! Reads the longest back-off among the Retry-After headers.
-void readBackoff( const http::fields& fields, AnswerHead& out ) {
+void readBackoff( const http::fields& fields, ResponseHead& out ) {
     const auto [begin, end] = fields.equal_range( http::field::retry_after );
     for( auto it = begin; it != end; ++it ) {
         const std::string_view text( it->value() );
         const auto backoff = readSeconds( text );
         auto& longestBackoff = out.announcement.backoff;
         if( !backoff ) {
-            out.badField = formatField( retryAfterHeader, text );
+            out.unreadableField = formatField( retryAfterHeader, text );
         } else if( !longestBackoff || *longestBackoff < *backoff ) {
             longestBackoff = backoff;
         }
     }
 }
 
-void readCold( const http::fields& fields, AnswerHead& out ) {
+void readCold( const http::fields& fields, ResponseHead& out ) {
     const auto it = fields.find( coldTimeHeader );
     if( it == fields.end() ) {
         return;
@@ -153,14 +153,14 @@
     const std::string_view text( it->value() );
     const auto ms = readNumber<std::int64_t>( text );
     if( !ms || *ms < 0 ) {
-        out.badField = formatField( coldTimeHeader, text );
+        out.unreadableField = formatField( coldTimeHeader, text );
         return;
     }
     out.announcement.cold = std::min( Millis( *ms ), decide::maxColdTime );
 }
 
 //! Reads the lowest rate limit among the Server-Limit headers.
-void readLimit( const http::fields& fields, AnswerHead& out ) {
+void readLimit( const http::fields& fields, ResponseHead& out ) {
     auto& announcement = out.announcement;
     const auto [begin, end] =
         fields.equal_range( { serverLimitHeader.data(), serverLimitHeader.size() } );
@@ -169,7 +169,7 @@
         const auto perS = readNumber<double>( text, std::chars_format::general );
         const bool usable = perS && std::isfinite( *perS ) && *perS >= 0;
         if( !usable ) {
-            out.badField = formatField( serverLimitHeader, text );
+            out.unreadableField = formatField( serverLimitHeader, text );
             const bool named = announcement.limit == decide::LimitAnnouncement::named;
             announcement.limit = named ? announcement.limit : decide::LimitAnnouncement::unreadable;
             continue;
@@ -235,7 +235,7 @@
     return out;
 }
 
-http::fields takeSendHead( const SendHead& head, http::fields& client ) {
+http::fields makeSendHeaders( const SendHead& head, http::fields& client ) {
     http::fields out;
     const auto set = [&]( std::string_view name, const std::string& value ) {
         client.erase( { name.data(), name.size() } );
@@ -259,20 +259,20 @@
     return out;
 }
 
-AnswerHead readAnswerHead( unsigned status, const http::fields& fields ) {
-    AnswerHead out;
+ResponseHead readResponseHead( unsigned status, const http::fields& fields ) {
+    ResponseHead out;
     out.requestId = std::string( field( fields, requestIdHeader ) );
     out.sealed = fields.find( responseSealHeader ) != fields.end();
     if( status == statusMisdirected ) {
-        out.answerClass = AnswerClass::moved;
+        out.responseClass = ResponseClass::moved;
         out.actualUpstream = std::string( field( fields, actualInstanceHeader ) );
     } else if( fields.find( notRunHeader ) != fields.end() ) {
-        out.answerClass = AnswerClass::notRun;
+        out.responseClass = ResponseClass::notRun;
     }
     // A 429 response without X-Not-Run concerns the client's own limits, not the upstream.
     const bool temporarilyRefused =
         status == statusUnavailable ||
-        ( status == statusTooManyRequests && out.answerClass == AnswerClass::notRun );
+        ( status == statusTooManyRequests && out.responseClass == ResponseClass::notRun );
     if( temporarilyRefused ) {
         readBackoff( fields, out );
     }
--- a/src/platform/headers.hpp
+++ b/src/platform/headers.hpp
@@ -45,23 +45,23 @@
 //! Returns the headers that coursehead adds to a request, and removes the client's headers of the
 //! same names from `client`. They are returned separately because headers that the client's
 //! `Connection` header names are dropped, which must not affect those of coursehead.
-http::fields takeSendHead( const SendHead& head, http::fields& client );
+http::fields makeSendHeaders( const SendHead& head, http::fields& client );
 
 //! The meaning of an upstream's response.
-enum class AnswerClass {
+enum class ResponseClass {
     complete, //!< the upstream ran the request and this is its response, of any status
     notRun,   //!< the upstream has not run the request and will not run it
     moved,    //!< not run: another upstream now has the address, or the upstream lacks the model
 };
-struct AnswerHead {
+struct ResponseHead {
     std::string requestId;
-    AnswerClass answerClass = AnswerClass::complete;
+    ResponseClass responseClass = ResponseClass::complete;
     bool sealed = false;        //!< carries the upstream's signature
     std::string actualUpstream; //!< upstream that has the address, if not the expected one
     decide::Announcement announcement;
-    std::string badField; //!< name and value of an announcement header that can't be parsed
+    std::string unreadableField; //!< name and value of an announcement header that can't be parsed
 };
-AnswerHead readAnswerHead( unsigned status, const http::fields& fields );
+ResponseHead readResponseHead( unsigned status, const http::fields& fields );
 
 //! Formats a delay in seconds with two decimals, for the Retry-After header.
 std::string retryAfterText( Millis delay );
--- a/src/platform/node_settings.cpp
+++ b/src/platform/node_settings.cpp
@@ -174,7 +174,7 @@
     }
     readPorts( top, settings );
     const FieldReader listen( top.table( "listen" ), "listen.", out.problems );
-    settings.front = listen.endpoint( "front" );
+    settings.clientEndpoint = listen.endpoint( "front" );
     settings.ready = listen.endpoint( "ready" );
     settings.engine = top.endpoint( "app" );
     if( settings.engine.valid() ) {
--- a/src/platform/node_settings.hpp
+++ b/src/platform/node_settings.hpp
@@ -68,10 +68,10 @@
     std::string vm;
     std::string hall;
     std::map<std::string, std::string> regions; //!< region of each hall
-    Endpoint front;    //!< listens for clients; invalid on VMs that run an engine
-    Endpoint ready;    //!< serves readiness probes
-    std::string ip;    //!< IP address of this VM
-    int firstPort = 0; //!< first of the ports for coursehead's internal traffic
+    Endpoint clientEndpoint; //!< listens for clients; invalid on VMs that run an engine
+    Endpoint ready;          //!< serves readiness probes
+    std::string ip;          //!< IP address of this VM
+    int firstPort = 0;       //!< first of the ports for coursehead's internal traffic
     int lastPort = 0;
     int metricsPort = 0;     //!< serves the metrics of the process
     Endpoint engine;         //!< the engine on this VM; invalid on gateways' VMs
--- a/src/platform/store_client.cpp
+++ b/src/platform/store_client.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned statusGone = 410;
 
 StoreStatus statusOf( const net::JsonResponse& response ) {
-    if( response.end != net::CallOutcome::answered ) {
+    if( response.outcome != net::CallOutcome::answered ) {
         return StoreStatus::unreachable;
     }
     if( response.status == statusGone ) {
@@ -146,7 +146,7 @@
     request.body = std::move( body );
     request.limit = limit;
     const auto response = co_await call( std::move( request ) );
-    const bool exists = response.end == net::CallOutcome::answered &&
+    const bool exists = response.outcome == net::CallOutcome::answered &&
                         ( response.status == statusCreated || response.status == statusConflict );
     co_return exists ? StoreStatus::ok : statusOf( response );
 }
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -5,8 +5,8 @@
 #include "decide/cold_gate.hpp"
 #include "decide/event_pace.hpp"
 #include "net/net.hpp"
+#include "sidecar/pending_ensure.hpp"
 #include "sidecar/prompt_gate.hpp"
-#include "sidecar/question.hpp"
 
 #include <cstdint>
 #include <functional>
--- a/src/sidecar/engine_client.cpp
+++ b/src/sidecar/engine_client.cpp
@@ -19,7 +19,7 @@
     call.target = std::string( platform::reportPath );
     call.limit = reportLimit;
     const auto answer = co_await m_http.call( call );
-    if( answer.end != net::CallOutcome::answered || answer.status != statusOk ) {
+    if( answer.outcome != net::CallOutcome::answered || answer.status != statusOk ) {
         co_return std::nullopt;
     }
     co_return platform::readEngineReport( answer.body );
@@ -36,7 +36,7 @@
     call.responseHeader = std::string( platform::actualUpstreamHeader() );
     const auto answer = co_await m_http.call( call );
     OrderAnswer out;
-    switch( answer.end ) {
+    switch( answer.outcome ) {
     case net::CallOutcome::answered:
         out.verdict = platform::orderVerdict( answer.status );
         out.actualUpstream = answer.responseHeader;
--- a/src/sidecar/engine_view.cpp
+++ b/src/sidecar/engine_view.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-EngineView::ReportChanges EngineView::take( gateway::EngineReport report, MonoTime now ) {
+EngineView::ReportChanges EngineView::applyReport( gateway::EngineReport report, MonoTime now ) {
     ReportChanges out;
     out.restarted = gateway::isOlderStart( m_report.born, report.born );
     if( out.restarted ) {
--- a/src/sidecar/engine_view.hpp
+++ b/src/sidecar/engine_view.hpp
@@ -4,7 +4,7 @@
 
 #include "decide/model_restore.hpp"
 #include "decide/smoothed_rate.hpp"
-#include "sidecar/question.hpp"
+#include "sidecar/pending_ensure.hpp"
 #include "sidecar/residency.hpp"
 
 #include <map>
@@ -33,7 +33,7 @@
         //! Models that the engine held before it restarted empty.
         std::vector<decide::PreviousModel> lostModels;
     };
-    ReportChanges take( gateway::EngineReport report, MonoTime now );
+    ReportChanges applyReport( gateway::EngineReport report, MonoTime now );
     const gateway::EngineReport& report() const noexcept { return m_report; }
 
     //! Use of a model by all gateways: the sum of the fleet-wide demand that the connected gateways
--- a/src/sidecar/question.hpp
+++ b/src/sidecar/pending_ensure.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_SIDECAR_QUESTION_HPP_INCLUDED
-#define COURSEHEAD_SIDECAR_QUESTION_HPP_INCLUDED
+#ifndef COURSEHEAD_SIDECAR_PENDING_ENSURE_HPP_INCLUDED
+#define COURSEHEAD_SIDECAR_PENDING_ENSURE_HPP_INCLUDED
 
 #include "gateway/messages.hpp"
 #include "net/frame_channel.hpp"
@@ -47,4 +47,4 @@
 
 } // namespace coursehead::sidecar
 
-#endif // COURSEHEAD_SIDECAR_QUESTION_HPP_INCLUDED
+#endif // COURSEHEAD_SIDECAR_PENDING_ENSURE_HPP_INCLUDED
--- a/src/sidecar/prompt_gate.cpp
+++ b/src/sidecar/prompt_gate.cpp
@@ -53,7 +53,7 @@
     const auto goal = request.since + std::min( Millis( request.prompt.goalMs ), request.limit );
     decide::ReadingRequest reading{ request.key, uncachedWorkMs( request ), goal };
     auto verdict = m_queue.ask( reading, now );
-    if( !verdict.accepted && request.prompt.late ) {
+    if( !verdict.accepted && request.prompt.mayStartLate ) {
         reading.startBy = request.since + request.limit;
         verdict = m_queue.ask( reading, now );
     }
@@ -82,7 +82,7 @@
         const auto it = m_waiting.find( reading.key );
         const auto latestStart = it->second.since + it->second.limit;
         // The goal is missed, but this prompt may start late: queue it again within its limit.
-        const bool mayStartLate = it->second.prompt.late && reading.startBy < latestStart;
+        const bool mayStartLate = it->second.prompt.mayStartLate && reading.startBy < latestStart;
         reading.startBy = latestStart;
         if( mayStartLate && m_queue.ask( reading, now ).accepted ) {
             continue;
--- a/src/sidecar/publisher.cpp
+++ b/src/sidecar/publisher.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: BSL-1.0
 #include "sidecar/publisher.hpp"
 
-#include "sidecar/report_news.hpp"
+#include "sidecar/report_changes.hpp"
 
 #include <algorithm>
 
--- a/src/sidecar/publisher.hpp
+++ b/src/sidecar/publisher.hpp
@@ -6,7 +6,7 @@
 #include "sidecar/engine_view.hpp"
 #include "sidecar/orders.hpp"
 #include "sidecar/pause_meter.hpp"
-#include "sidecar/question.hpp"
+#include "sidecar/pending_ensure.hpp"
 #include "sidecar/sent_parts.hpp"
 
 #include <set>
--- a/src/sidecar/report_news.cpp
+++ b/src/sidecar/report_changes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: BSL-1.0
-#include "sidecar/report_news.hpp"
+#include "sidecar/report_changes.hpp"
 
 #include <cstdint>
 
--- a/src/sidecar/report_news.hpp
+++ b/src/sidecar/report_changes.hpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: BSL-1.0
-#ifndef COURSEHEAD_SIDECAR_REPORT_NEWS_HPP_INCLUDED
-#define COURSEHEAD_SIDECAR_REPORT_NEWS_HPP_INCLUDED
+#ifndef COURSEHEAD_SIDECAR_REPORT_CHANGES_HPP_INCLUDED
+#define COURSEHEAD_SIDECAR_REPORT_CHANGES_HPP_INCLUDED
 
 #include "gateway/model.hpp"
 
@@ -15,4 +15,4 @@
 
 } // namespace coursehead::sidecar
 
-#endif // COURSEHEAD_SIDECAR_REPORT_NEWS_HPP_INCLUDED
+#endif // COURSEHEAD_SIDECAR_REPORT_CHANGES_HPP_INCLUDED
--- a/src/sidecar/shared_counts.hpp
+++ b/src/sidecar/shared_counts.hpp
@@ -5,7 +5,7 @@
 #include "coursehead/metrics/metrics.hpp"
 #include "decide/limit_holder.hpp"
 #include "decide/quota_holder.hpp"
-#include "sidecar/question.hpp"
+#include "sidecar/pending_ensure.hpp"
 
 #include <set>
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -12,9 +12,9 @@
 #include "sidecar/engine_view.hpp"
 #include "sidecar/orders.hpp"
 #include "sidecar/pause_meter.hpp"
+#include "sidecar/pending_ensure.hpp"
 #include "sidecar/publisher.hpp"
 #include "sidecar/quarantine_keeper.hpp"
-#include "sidecar/question.hpp"
 #include "sidecar/relay.hpp"
 #include "sidecar/sent_parts.hpp"
 #include "sidecar/shared_counts.hpp"
@@ -253,7 +253,7 @@
         m_sentParts.add( update.sentParts );
         m_view.noteDemand( update, MonoClock::now() );
         peer.demand.clear();
-        peer.readingShare = update.reading;
+        peer.readingShare = update.readingShare;
         peer.gatewayCount = update.gateways;
         for( const auto& it : update.models ) {
             peer.demand.emplace( it.model, it );
@@ -363,7 +363,7 @@
 
     void takeReport( gateway::EngineReport report ) {
         const auto now = MonoClock::now();
-        auto changes = m_view.take( std::move( report ), now );
+        auto changes = m_view.applyReport( std::move( report ), now );
         for( const auto& it : changes.droppedModels ) {
             m_admission.dropModel( it );
         }
--- a/tests/fuzz/headers.cpp
+++ b/tests/fuzz/headers.cpp
@@ -27,7 +27,7 @@
         __builtin_trap();
     }
     static_cast<void>( platform::readRequestHead( fields ) );
-    const auto said = platform::readAnswerHead( 200, fields ).announcement;
+    const auto said = platform::readResponseHead( 200, fields ).announcement;
     if( said.limit == decide::LimitAnnouncement::named &&
         !( std::isfinite( said.limitPerS ) && said.limitPerS >= 0 ) ) {
         __builtin_trap();
@@ -36,7 +36,7 @@
     platform::SendHead head;
     head.keyed = true;
     head.organisation = "one";
-    const auto own = platform::takeSendHead( head, fields );
+    const auto own = platform::makeSendHeaders( head, fields );
     const bool hidden = fields.count( platform::http::field::authorization ) == 0 &&
                         fields.count( "X-Tenant" ) == 0 && own.count( "X-Tenant" ) == 1;
     if( !hidden ) {
--- a/tests/promise/announcement.tests.cpp
+++ b/tests/promise/announcement.tests.cpp
@@ -29,7 +29,7 @@
            "[promise][announcement]" ) {
     World world;
     world.oneGateway = true;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         const auto runners = world.runners( false );
         runners[0]->turnAway( 1, backoff );
         while( world.record.countOf( askedForBackoff ) == 0 ) {
@@ -51,7 +51,7 @@
     world.oneGateway = true;
     int refused = 0;
     bool servedAgain = false;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         for( auto* it : world.runners( true ) ) {
             it->turnAway( 1, backoff );
         }
@@ -73,7 +73,7 @@
            "[promise][announcement]" ) {
     World world;
     world.oneGateway = true;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         for( auto& it : world.deployment->gateways() ) {
             it->toStore->setMode( LinkMode::silent );
         }
--- a/tests/promise/answers.tests.cpp
+++ b/tests/promise/answers.tests.cpp
@@ -30,7 +30,7 @@
         for( auto* it : { &entry1(), &entry2() } ) {
             fleet.waitForAgents( *it, static_cast<std::size_t>( runners ) );
         }
-        Fleet::require( entry1(), fleet::usualConfig() );
+        Fleet::require( entry1(), fleet::defaultConfig() );
         for( auto* it : { &entry1(), &entry2() } ) {
             Fleet::waitForOrders( *it, static_cast<std::size_t>( runners ) );
         }
--- a/tests/promise/at_most_once.tests.cpp
+++ b/tests/promise/at_most_once.tests.cpp
@@ -274,7 +274,7 @@
         fleet.entry( "e2" );
         fleet.waitForAgents( entry1(), 2 );
         fleet.waitForAgents( entry2(), 2 );
-        fleet::Fleet::require( entry1(), fleet::usualConfig() );
+        fleet::Fleet::require( entry1(), fleet::defaultConfig() );
         fleet.waitForSlots( entry1() );
         fleet.waitForSlots( entry2() );
     }
--- a/tests/promise/halls.tests.cpp
+++ b/tests/promise/halls.tests.cpp
@@ -27,11 +27,11 @@
 TEST_CASE( "A hall that is emptied gets no requests until that is taken back, whoever starts anew",
            "[promise][halls]" ) {
     World world;
-    world.samePrompts = false;
+    world.sharedPrefix = false;
     int servedWhileEmptied = 0;
     int sentToEmptied = 0;
     int sentAfterRestart = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         auto& record = world.record;
         auto& store = world.deployment->store();
         co_await streamUntil( world, [&] { return record.runsIn( "hall-0" ) > 2; } );
@@ -55,7 +55,7 @@
 TEST_CASE( "An emptied hall that nobody knows changes nothing", "[promise][halls]" ) {
     World world;
     int served = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         world.deployment->store().put( "evacuations", "nowhere", 5 );
         world.deployment->store().put( "evacuations", "", nullptr );
         co_await net::pause( world.context, evacuationBound );
@@ -67,12 +67,12 @@
 TEST_CASE( "Requests with home regions are served there only, and refused where there is none",
            "[promise][halls]" ) {
     World world;
-    world.samePrompts = false;
+    world.sharedPrefix = false;
     int served = 0;
     int sentOutsideHome = 0;
     unsigned statusWithoutHome = 0;
     int runsWithoutHome = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         auto& record = world.record;
         world.deployment->setHomes( { "region-1" } );
         world.deployment->changeConfiguration();
--- a/tests/promise/hostile.tests.cpp
+++ b/tests/promise/hostile.tests.cpp
@@ -54,7 +54,7 @@
         fleet.agent( "a", engine.url );
         fleet.entry( "entry", { "--max-body-bytes", "2000" } );
         fleet.waitForAgents( entry(), 1 );
-        Fleet::require( entry(), fleet::usualConfig() );
+        Fleet::require( entry(), fleet::defaultConfig() );
         Fleet::waitForOrders( entry(), 1 );
     }
     fleet::Node& entry() { return fleet.node( "entry" ); }
--- a/tests/promise/leaving.tests.cpp
+++ b/tests/promise/leaving.tests.cpp
@@ -51,7 +51,7 @@
         }
         fleet.entry( "entry" );
         fleet.waitForAgents( entry(), 2 );
-        Fleet::require( entry(), fleet::usualConfig() );
+        Fleet::require( entry(), fleet::defaultConfig() );
         Fleet::waitForOrders( entry(), 2 );
         caller = std::jthread( [this] {
             answer = fleet::streamCall( entry().url, fleet::chatBody( "m", "long", 150 ), {},
--- a/tests/promise/limit.tests.cpp
+++ b/tests/promise/limit.tests.cpp
@@ -53,7 +53,7 @@
         net::start( world.context, std::move( task ), "caller" );
     }
     while( counts.finishedCallers < callers ) {
-        co_await net::pause( world.context, support::look );
+        co_await net::pause( world.context, support::pollInterval );
     }
     co_return counts;
 }
@@ -67,7 +67,7 @@
 void checkLimits( World& world ) {
     for( const auto& it : world.deployment->upstreams() ) {
         INFO( ( it.runner->isEngine() ? "an engine" : "a plain upstream" ) );
-        CHECK( it.runner->limit().most() <= it.runner->limit().allowed() );
+        CHECK( it.runner->limit().mostInWindow() <= it.runner->limit().allowed() );
     }
 }
 
@@ -83,7 +83,7 @@
            "[promise][limit]" ) {
     World world;
     CallCounts counts;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         nameLimits( world, TrafficKind::stream, limitPerS );
         counts = co_await runCallers( world, TrafficKind::stream, observedTime );
     } );
@@ -96,7 +96,7 @@
            "[promise][limit]" ) {
     World world;
     CallCounts counts;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         nameLimits( world, TrafficKind::plain, limitPerS );
         counts = co_await runCallers( world, TrafficKind::plain, observedTime );
     } );
@@ -109,7 +109,7 @@
            "[promise][limit][size]" ) {
     World world( WorldSize{ 3, 72, 3 } );
     CallCounts counts;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         nameLimits( world, TrafficKind::plain, limitPerS );
         counts = co_await runCallers( world, TrafficKind::plain, observedTime );
     } );
@@ -120,7 +120,7 @@
 TEST_CASE( "A limit holds while no sidecar can be reached", "[promise][limit]" ) {
     World world;
     CallCounts counts;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         for( auto& it : world.deployment->sidecars() ) {
             it->toIt->setMode( LinkMode::silent );
         }
@@ -135,7 +135,7 @@
     constexpr Millis after{ 3000 };
     World world;
     CallCounts counts;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         nameLimits( world, TrafficKind::plain, limitPerS );
         co_await runCallers( world, TrafficKind::plain, knowledgeBound );
         nameLimits( world, TrafficKind::plain, std::nullopt );
--- a/tests/promise/memory.tests.cpp
+++ b/tests/promise/memory.tests.cpp
@@ -299,7 +299,7 @@
     fleet.agent( "a", engine.url, agentOptions );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig( checks ) );
+    fleet::Fleet::require( entry, fleet::defaultConfig( checks ) );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model n memory=900MiB" );
     // The first load reaches the engine late, after the agent that sent the order has been killed.
@@ -325,7 +325,7 @@
     fleet.agent( "a", engine.url, { "--min-residency-ms", "0" } );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig() );
+    fleet::Fleet::require( entry, fleet::defaultConfig() );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model big memory=550MiB" );
     CHECK( fleet::streamCall( entry.url, fleet::chatBody( "m", "1", 4 ) ).done );
@@ -350,7 +350,7 @@
     fleet.agent( "a", engine.url, { "--min-residency-ms", "0" } );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig( checks ) );
+    fleet::Fleet::require( entry, fleet::defaultConfig( checks ) );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model n memory=800MiB" );
     for( const char* fault :
--- a/tests/promise/poison.tests.cpp
+++ b/tests/promise/poison.tests.cpp
@@ -31,8 +31,8 @@
            "[promise][poison]" ) {
     World world;
     unsigned other = 0;
-    world.play( [&]() -> net::Task<> {
-        co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
+    world.runScenario( [&]() -> net::Task<> {
+        co_await world.askRepeatedly( "POST", pathOf( "stream" ), "summary" );
         co_await world.waitUntilSettled();
         other = co_await world.ask( "POST", "/stream/other", "summary" );
     } );
@@ -44,8 +44,8 @@
     "A stream that ends engines stops being sent where gateways are connected to some of many",
     "[promise][poison][size]" ) {
     World world( WorldSize{ 3, 72, 1 } );
-    world.play( [&]() -> net::Task<> {
-        co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
+    world.runScenario( [&]() -> net::Task<> {
+        co_await world.askRepeatedly( "POST", pathOf( "stream" ), "summary" );
     } );
     CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= maxEndedUpstreams );
 }
@@ -53,17 +53,17 @@
 TEST_CASE( "A plain request that ends every upstream that runs it stops being sent",
            "[promise][poison]" ) {
     World world;
-    world.play(
-        [&]() -> net::Task<> { co_await world.askAgainAndAgain( "GET", pathOf( "safe" ), "" ); } );
+    world.runScenario(
+        [&]() -> net::Task<> { co_await world.askRepeatedly( "GET", pathOf( "safe" ), "" ); } );
     CHECK( world.record.endings( pathOf( "safe" ) + " " ) <= maxEndedUpstreams );
 }
 
 TEST_CASE( "What requests have done outlasts every process", "[promise][poison]" ) {
     World world;
-    world.play( [&]() -> net::Task<> {
-        co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
+    world.runScenario( [&]() -> net::Task<> {
+        co_await world.askRepeatedly( "POST", pathOf( "stream" ), "summary" );
         world.restartAll();
-        co_await world.askAgainAndAgain( "POST", pathOf( "stream" ), "summary" );
+        co_await world.askRepeatedly( "POST", pathOf( "stream" ), "summary" );
     } );
     CHECK( world.record.endings( pathOf( "stream" ) + " summary" ) <= maxEndedUpstreams );
 }
--- a/tests/promise/size.tests.cpp
+++ b/tests/promise/size.tests.cpp
@@ -76,7 +76,7 @@
 net::Task<> waitUntil( World& world, const std::function<bool()>& condition ) {
     const auto limit = MonoClock::now() + 10s;
     while( !condition() && MonoClock::now() < limit ) {
-        co_await net::pause( world.context, support::look );
+        co_await net::pause( world.context, support::pollInterval );
     }
 }
 
@@ -88,11 +88,11 @@
     constexpr int gateways = 2;
     constexpr int streams = 30;
     World world( WorldSize{ gateways, engines, 1 } );
-    world.samePrompts = false;
+    world.sharedPrefix = false;
     std::size_t before = 0;
     std::size_t after = 0;
     int served = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         co_await waitUntil(
             world, [&] { return connections( world ) >= gateways * decide::targetLinks; } );
         before = connections( world );
@@ -113,8 +113,8 @@
     World world( WorldSize{ gateways, 8, 1 } );
     std::uint64_t calls = 0;
     std::uint64_t staleLists = 0;
-    world.play( [&]() -> net::Task<> {
-        staleLists = world.deployment->store().oldLists();
+    world.runScenario( [&]() -> net::Task<> {
+        staleLists = world.deployment->store().staleListCalls();
         calls = world.deployment->store().calls() - staleLists;
         co_return;
     } );
@@ -132,13 +132,13 @@
     constexpr int engines = 8;
     World world( WorldSize{ gateways, engines, 1 } );
     std::uint64_t calls = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         auto& store = world.deployment->store();
-        const auto before = store.calls() - store.oldLists();
+        const auto before = store.calls() - store.staleListCalls();
         world.restartAll();
         co_await net::pause( world.context, Millis( 500 ) );
         co_await world.waitUntilSettled();
-        calls = store.calls() - store.oldLists() - before;
+        calls = store.calls() - store.staleListCalls() - before;
     } );
     // Each sidecar reads its fence; the relays list and watch four kinds.
     INFO( "store calls until " << gateways << " gateways are ready again: " << calls );
@@ -149,7 +149,7 @@
     constexpr int gateways = 20;
     World world( WorldSize{ 1, 2, 1 } );
     std::vector<FakeGateway> fakeGateways( gateways );
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         const auto ip = world.deployment->sidecars()[0]->reachedIp;
         for( std::size_t n = 0; n < fakeGateways.size(); ++n ) {
             co_await connectTo( world, ip, fakeGateways[n], "pretended-" + std::to_string( n ), 0 );
@@ -174,7 +174,7 @@
     const auto spec = gateway::encodeSpec( engine );
     int initialSpecRequests = 0;
     int laterSpecRequests = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         const auto ip = world.deployment->sidecars()[0]->reachedIp;
         for( std::size_t n = 0; n < fakeGateways.size(); ++n ) {
             co_await connectTo( world, ip, fakeGateways[n], "pretended-" + std::to_string( n ),
--- a/tests/promise/store_copy.tests.cpp
+++ b/tests/promise/store_copy.tests.cpp
@@ -42,12 +42,12 @@
            "[promise][store]" ) {
     const auto outageTime = GENERATE( unnoticed, outage );
     World world;
-    world.samePrompts = false;
+    world.sharedPrefix = false;
     int sentToEmptied = 0;
     int served = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         auto& store = world.deployment->store();
-        store.keepCopy();
+        store.saveCopy();
         for( int n = 0; n < lostWrites; ++n ) {
             store.put( "config", "lost-" + std::to_string( n ), n );
         }
@@ -67,11 +67,11 @@
 TEST_CASE( "A hall that was emptied just before the store came back older stays empty",
            "[promise][store]" ) {
     World world;
-    world.samePrompts = false;
+    world.sharedPrefix = false;
     int sentToEmptied = 0;
-    world.play( [&]() -> net::Task<> {
+    world.runScenario( [&]() -> net::Task<> {
         auto& store = world.deployment->store();
-        store.keepCopy();
+        store.saveCopy();
         store.put( "evacuations", "hall-0", nlohmann::json::object() );
         co_await net::pause( world.context, evacuationBound + arrivalMargin );
         const int before = world.record.runsIn( "hall-0" );
--- a/tests/replay/limit_world.cpp
+++ b/tests/replay/limit_world.cpp
@@ -99,7 +99,7 @@
             next.run();
         }
         for( const auto& it : m_upstreams ) {
-            m_out.maxInWindow = std::max( m_out.maxInWindow, it.watch.most() );
+            m_out.maxInWindow = std::max( m_out.maxInWindow, it.watch.mostInWindow() );
         }
         m_out.excess = m_out.maxInWindow - m_allowed;
         const double seconds =
@@ -151,7 +151,7 @@
     void setLimits( std::optional<double> perS ) {
         m_perS = perS;
         for( auto& it : m_upstreams ) {
-            it.watch.name( perS, m_now );
+            it.watch.setLimit( perS, m_now );
             m_allowed = perS ? it.watch.allowed() : m_allowed;
         }
     }
@@ -431,7 +431,7 @@
         const bool aware = m_gateways[request->gateway].limits[u].known.perS().has_value();
         at( m_now + networkDelay(), [this, request, u, sent, incarnation, informed, aware] {
             if( informed ) {
-                m_upstreams[u].watch.arrived( m_now );
+                m_upstreams[u].watch.countRequest( m_now );
             }
             m_out.unawareRequests += m_perS && !aware ? 1 : 0;
             const auto work = m_load.fastestAnswer +
--- a/tests/soak/runner.cpp
+++ b/tests/soak/runner.cpp
@@ -275,7 +275,7 @@
 void Runner::noteArrival( Life& life, const std::string& id ) {
     noteUnheard( life );
     const auto now = MonoClock::now();
-    const int beyond = m_limit.arrived( now );
+    const int beyond = m_limit.countRequest( now );
     if( beyond > 0 && m_record.calmSince( now - support::limitWindow ) ) {
         m_record.breach( "a limit is kept by all gateways together",
                          life.id + " gets " + std::to_string( beyond ) + " requests too many" );
--- a/tests/soak/runner.hpp
+++ b/tests/soak/runner.hpp
@@ -60,7 +60,7 @@
     //! Turns the next requests away and asks whoever sent them to send nothing for `backoff`.
     void turnAway( int requests, Millis backoff );
     //! Names a limit in all its answers from now on; nullopt: none any more.
-    void nameLimit( std::optional<double> perS ) { m_limit.name( perS, MonoClock::now() ); }
+    void nameLimit( std::optional<double> perS ) { m_limit.setLimit( perS, MonoClock::now() ); }
     const support::LimitWatch& limit() const { return m_limit; }
     bool alive() const { return m_life != nullptr; }
     bool isEngine() const { return m_settings.engine; }
--- a/tests/soak/schedule.cpp
+++ b/tests/soak/schedule.cpp
@@ -87,7 +87,7 @@
     co_await net::pause( m_deployment.context(), length );
     store.setDelay( Millis{ 0 } );
     if( m_deployment.random().below( 2 ) == 0 ) {
-        store.forgetHistory();
+        store.discardHistory();
     }
     store.setMode( StoreMode::up );
 }
--- a/tests/support/fleet.cpp
+++ b/tests/support/fleet.cpp
@@ -409,7 +409,7 @@
     return readStream( url, request, {} );
 }
 
-std::string usualConfig( bool checksOrders, int latenessMs ) {
+std::string defaultConfig( bool checksOrders, int latenessMs ) {
     return "begin\n"
            "create upstream runner accelerators=1 memory=1GiB checks_orders=" +
            std::string( checksOrders ? "true" : "false" ) +
--- a/tests/support/fleet.hpp
+++ b/tests/support/fleet.hpp
@@ -128,7 +128,7 @@
                      const std::string& lastEventId );
 
 //! The operator commands for the configuration that most tests use.
-std::string usualConfig( bool checksOrders = true, int latenessMs = 400 );
+std::string defaultConfig( bool checksOrders = true, int latenessMs = 400 );
 
 } // namespace fleet
 
--- a/tests/support/limit_watch.hpp
+++ b/tests/support/limit_watch.hpp
@@ -26,7 +26,7 @@
     explicit LimitWatch( Millis grace ) : m_grace( grace ) {}
 
     //! The upstream announces another limit; nullopt: no limit any more.
-    void name( std::optional<double> perS, MonoTime now ) {
+    void setLimit( std::optional<double> perS, MonoTime now ) {
         m_perS = perS;
         m_limitSetAt = now;
         m_arrivals.clear();
@@ -34,7 +34,7 @@
     std::optional<double> perS() const { return m_perS; }
 
     //! Counts a request; returns by how many the window that ends now exceeds the bound.
-    int arrived( MonoTime now ) {
+    int countRequest( MonoTime now ) {
         if( !m_perS || now - m_limitSetAt < m_grace ) {
             return 0;
         }
@@ -54,7 +54,7 @@
                                              limitWindowExtraRequests ) );
     }
     //! The highest number of requests counted in one window.
-    int most() const { return m_mostInWindow; }
+    int mostInWindow() const { return m_mostInWindow; }
 
 private:
     Millis m_grace;
--- a/tests/support/object_store.cpp
+++ b/tests/support/object_store.cpp
@@ -110,7 +110,7 @@
     recordEvent( kind, std::move( object ), true );
 }
 
-void ObjectStore::keepCopy() {
+void ObjectStore::saveCopy() {
     m_copy = { m_objects, m_revision };
 }
 
--- a/tests/support/object_store.hpp
+++ b/tests/support/object_store.hpp
@@ -38,14 +38,14 @@
     //! Calls received so far, watches included.
     std::uint64_t calls() const { return m_calls; }
     //! Those of the calls that accept a list some seconds old; the store charges a tenth for these.
-    std::uint64_t oldLists() const { return m_staleListCalls; }
+    std::uint64_t staleListCalls() const { return m_staleListCalls; }
 
     void put( const std::string& kind, const std::string& name, nlohmann::json specification );
     void remove( const std::string& kind, const std::string& name );
     //! Answers 410 to watches that start from an earlier revision.
-    void forgetHistory() { m_oldestWatchable = m_revision; }
+    void discardHistory() { m_oldestWatchable = m_revision; }
     //! Saves a copy of all current objects.
-    void keepCopy();
+    void saveCopy();
     //! Restores the saved copy: writes since then are lost, their revisions are assigned again, and
     //! a new era starts.
     void restoreCopy();
--- a/tests/support/world.hpp
+++ b/tests/support/world.hpp
@@ -30,7 +30,7 @@
 
 inline constexpr int repeatCount = 10;
 inline constexpr Millis scenarioTimeout{ 60000 };
-inline constexpr Millis look{ 50 };
+inline constexpr Millis pollInterval{ 50 };
 
 //! Number of processes of each kind.
 struct WorldSize {
@@ -50,8 +50,8 @@
                          ( "coursehead-world-" + std::to_string( ::getpid() ) );
     std::unique_ptr<Deployment> deployment;
     int sent = 0;
-    bool samePrompts = true; //!< prompts share their prefix, so that gateways prefer one engine
-    bool oneGateway = false; //!< all requests go to the first gateway
+    bool sharedPrefix = true; //!< prompts share their prefix, so that gateways prefer one engine
+    bool oneGateway = false;  //!< all requests go to the first gateway
     bool finished = false;
 
     explicit World( WorldSize size = {} ) {
@@ -72,7 +72,7 @@
     net::Task<> pollDeployment() {
         for( ;; ) {
             deployment->look();
-            co_await net::pause( context, look );
+            co_await net::pause( context, pollInterval );
         }
     }
 
@@ -91,7 +91,7 @@
 
     net::Task<> waitUntilSettled() {
         while( !settled() ) {
-            co_await net::pause( context, look );
+            co_await net::pause( context, pollInterval );
         }
     }
 
@@ -112,7 +112,7 @@
             method + " " + path + " HTTP/1.1\r\nHost: " + hostName + "\r\nX-Request-Id: " + id +
             "\r\nX-Deadline-Ms: 3500\r\nX-Model: m0\r\n"
             "X-Token-Counts: 2000,100\r\nX-Prompt-Prefix: " +
-            ( samePrompts ? "a" : std::to_string( sent ) ) +
+            ( sharedPrefix ? "a" : std::to_string( sent ) ) +
             ":1500,b:500\r\nContent-Length: " + std::to_string( body.size() ) + "\r\n\r\n" + body;
         const auto bytes = net::asio::buffer( text );
         co_await net::asio::async_write( socket, bytes, net::tupled );
@@ -161,7 +161,7 @@
         co_return served;
     }
 
-    net::Task<> askAgainAndAgain( std::string method, std::string path, std::string body ) {
+    net::Task<> askRepeatedly( std::string method, std::string path, std::string body ) {
         for( int n = 0; n < repeatCount; ++n ) {
             co_await waitUntilSettled();
             std::string m = method;
@@ -185,8 +185,8 @@
         }
     }
 
-    template <typename Play>
-    void play( Play scenario ) {
+    template <typename Scenario>
+    void runScenario( Scenario scenario ) {
         auto all = [this, scenario]() -> net::Task<> {
             deployment->start();
             net::start( context, pollDeployment(), "tend" );
--- a/tests/unit/announcement.tests.cpp
+++ b/tests/unit/announcement.tests.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 //! The parsed head of a refusal with these Retry-After headers.
-platform::AnswerHead refusal( std::initializer_list<const char*> backoffs, unsigned status = 503,
-                              bool ran = false ) {
+platform::ResponseHead refusal( std::initializer_list<const char*> backoffs, unsigned status = 503,
+                                bool ran = false ) {
     fields head;
     if( !ran ) {
         head.set( "X-Not-Run", "1" );
@@ -23,7 +23,7 @@
     for( const auto* it : backoffs ) {
         head.insert( "Retry-After", it );
     }
-    return platform::readAnswerHead( status, head );
+    return platform::readResponseHead( status, head );
 }
 
 constexpr MonoTime start{ 1000s };
@@ -61,7 +61,7 @@
         INFO( it );
         const auto head = refusal( { it } );
         CHECK( head.announcement.backoff == std::nullopt );
-        CHECK( head.badField == std::string( "Retry-After: " ) + it );
+        CHECK( head.unreadableField == std::string( "Retry-After: " ) + it );
     }
     CHECK( refusal( { "soon", "2" } ).announcement.backoff == 2000ms );
 }
@@ -70,27 +70,27 @@
     const auto cold = []( const char* value ) {
         fields head;
         head.set( "X-Cold-Ms", value );
-        return platform::readAnswerHead( 200, head );
+        return platform::readResponseHead( 200, head );
     };
     CHECK( cold( "1500" ).announcement.cold == 1500ms );
     CHECK( cold( "0" ).announcement.cold == 0ms );
     CHECK( cold( "999999999999" ).announcement.cold == maxColdTime );
-    CHECK( platform::readAnswerHead( 200, {} ).announcement.cold == std::nullopt );
+    CHECK( platform::readResponseHead( 200, {} ).announcement.cold == std::nullopt );
     for( const auto* it : { "-5", "", "long", "1.5" } ) {
         INFO( it );
         CHECK( cold( it ).announcement.cold == std::nullopt );
-        CHECK( cold( it ).badField == std::string( "X-Cold-Ms: " ) + it );
+        CHECK( cold( it ).unreadableField == std::string( "X-Cold-Ms: " ) + it );
     }
 }
 
 namespace {
 
-platform::AnswerHead headWithLimits( std::initializer_list<const char*> limits ) {
+platform::ResponseHead headWithLimits( std::initializer_list<const char*> limits ) {
     fields head;
     for( const auto* it : limits ) {
         head.insert( "Server-Limit", it );
     }
-    return platform::readAnswerHead( 200, head );
+    return platform::readResponseHead( 200, head );
 }
 
 } // namespace
@@ -118,7 +118,7 @@
         INFO( it );
         const auto head = headWithLimits( { it } );
         CHECK( head.announcement.limit == LimitAnnouncement::unreadable );
-        CHECK( head.badField == std::string( "Server-Limit: " ) + it );
+        CHECK( head.unreadableField == std::string( "Server-Limit: " ) + it );
     }
 }
 
@@ -153,11 +153,11 @@
 TEST_CASE( "An upstream that leaves says so in answers of any kind", "[announcement][platform]" ) {
     fields head;
     head.set( "Server-Leaving", "1" );
-    CHECK( platform::readAnswerHead( 200, head ).announcement.leaving );
-    CHECK( platform::readAnswerHead( 503, head ).announcement.leaving );
+    CHECK( platform::readResponseHead( 200, head ).announcement.leaving );
+    CHECK( platform::readResponseHead( 503, head ).announcement.leaving );
     head.set( "Server-Leaving", "0" );
-    CHECK_FALSE( platform::readAnswerHead( 200, head ).announcement.leaving );
-    CHECK_FALSE( platform::readAnswerHead( 200, {} ).announcement.leaving );
+    CHECK_FALSE( platform::readResponseHead( 200, head ).announcement.leaving );
+    CHECK_FALSE( platform::readResponseHead( 200, {} ).announcement.leaving );
 }
 
 TEST_CASE( "A back-off lasts until its end, whatever answers that crossed it say",
--- a/tests/unit/organisation.tests.cpp
+++ b/tests/unit/organisation.tests.cpp
@@ -159,7 +159,7 @@
     head.upstreamId = "u";
     head.keyed = true;
     head.organisation = "one";
-    const auto ownFields = platform::takeSendHead( head, clientFields );
+    const auto ownFields = platform::makeSendHeaders( head, clientFields );
     CHECK( ownFields["X-Tenant"] == "one" );
     CHECK( clientFields.count( "X-Tenant" ) == 0 );
     CHECK( clientFields.count( "Authorization" ) == 0 );
@@ -167,6 +167,6 @@
     // In a configuration without keys the client's Authorization and X-Tenant headers are kept.
     platform::http::fields plainFields;
     plainFields.insert( "Authorization", "Basic x" );
-    platform::takeSendHead( platform::SendHead{}, plainFields );
+    platform::makeSendHeaders( platform::SendHead{}, plainFields );
     CHECK( plainFields["Authorization"] == "Basic x" );
 }
--- a/tests/unit/platform.tests.cpp
+++ b/tests/unit/platform.tests.cpp
@@ -53,7 +53,7 @@
     const auto parsed = platform::parseNodeSettings( goodSettings );
     REQUIRE( parsed.problems.empty() );
     CHECK( parsed.settings.vm == "front-1" );
-    CHECK( parsed.settings.front.port == 8149 );
+    CHECK( parsed.settings.clientEndpoint.port == 8149 );
     CHECK( parsed.settings.lastPort == 7395 );
     CHECK( parsed.settings.bounds.grace == 8000ms );
     CHECK( parsed.settings.bounds.drain == 2500ms );
@@ -149,12 +149,12 @@
 }
 
 TEST_CASE( "Only answers that say so were not run", "[platform][wire]" ) {
-    using platform::AnswerClass;
-    CHECK( platform::readAnswerHead( 503, {} ).answerClass == AnswerClass::complete );
-    CHECK( platform::readAnswerHead( 503, withField( "X-Not-Run", "1" ) ).answerClass ==
-           AnswerClass::notRun );
-    const auto moved = platform::readAnswerHead( 421, withField( "X-Instance-Id", "i-2" ) );
-    CHECK( moved.answerClass == AnswerClass::moved );
+    using platform::ResponseClass;
+    CHECK( platform::readResponseHead( 503, {} ).responseClass == ResponseClass::complete );
+    CHECK( platform::readResponseHead( 503, withField( "X-Not-Run", "1" ) ).responseClass ==
+           ResponseClass::notRun );
+    const auto moved = platform::readResponseHead( 421, withField( "X-Instance-Id", "i-2" ) );
+    CHECK( moved.responseClass == ResponseClass::moved );
     CHECK( moved.actualUpstream == "i-2" );
 }
 
--- a/tests/unit/reading_queue.tests.cpp
+++ b/tests/unit/reading_queue.tests.cpp
@@ -194,7 +194,7 @@
     REQUIRE( gate.takeAdmitted( now ).size() == 1 );
     auto second = promptRequest( 2, describePrompt( { { 2, 1000 } } ) );
     second.prompt.goalMs = 110;
-    second.prompt.late = true;
+    second.prompt.mayStartLate = true;
     second.limit = 2000ms;
     REQUIRE( gate.ask( second, now ).accepted );
     gate.noteUnread( 1, now + 140ms );
@@ -249,7 +249,7 @@
     auto second = promptRequest( 2, describePrompt( { { 2, 4000 } } ) );
     second.limit = 2000ms;
     CHECK_FALSE( gate.ask( second, now ).accepted );
-    second.prompt.late = true;
+    second.prompt.mayStartLate = true;
     CHECK( gate.ask( second, now ).accepted );
     CHECK( gate.waiting() == 1 );
 }
--- a/tests/unit/relay.tests.cpp
+++ b/tests/unit/relay.tests.cpp
@@ -171,7 +171,7 @@
     f.store.setMode( StoreMode::busy );
     REQUIRE( f.receives( []( const auto& it ) { return !it.reachable; } ) );
     f.store.remove( "servers", "u1" );
-    f.store.forgetHistory();
+    f.store.discardHistory();
     f.updates.clear();
     f.store.setMode( StoreMode::up );
     REQUIRE( f.receives( []( const auto& it ) {
@@ -191,7 +191,7 @@
     }
     f.updates.clear();
     // The store loses its history too. The relay retries each cut call once, without delay.
-    f.store.forgetHistory();
+    f.store.discardHistory();
     f.store.cut( partCount );
     f.store.put( "servers", "u2", entry( "ready" ) );
     REQUIRE( f.receives( []( const auto& it ) {
--- a/tests/unit/restart.tests.cpp
+++ b/tests/unit/restart.tests.cpp
@@ -105,15 +105,15 @@
     EngineReport report;
     report.born = firstStart;
     report.residents = { { "m", {} } };
-    CHECK_FALSE( view.take( report, start ).restarted );
+    CHECK_FALSE( view.applyReport( report, start ).restarted );
     view.noteUnload( { sidecar::StepKind::unload, "m", "" }, start );
     view.setRetiring( "m", start );
     CHECK( view.availableResidents().empty() );
     report.born = firstStart + 4000;
-    const auto change = view.take( report, start + 100ms );
+    const auto change = view.applyReport( report, start + 100ms );
     CHECK( change.restarted );
     CHECK( view.availableResidents().size() == 1 );
-    CHECK_FALSE( view.take( report, start + 200ms ).restarted );
+    CHECK_FALSE( view.applyReport( report, start + 200ms ).restarted );
 }
 
 TEST_CASE( "When an upstream was born is read where it is a whole number", "[platform][restart]" ) {
--- a/tests/unit/store_copy.tests.cpp
+++ b/tests/unit/store_copy.tests.cpp
@@ -113,7 +113,7 @@
         net::start( f.context, std::move( task ), "follower" );
         std::set<std::string> expectedNames;
         std::set<std::string> copiedNames;
-        f.store.keepCopy();
+        f.store.saveCopy();
         const auto steps = *rc::gen::container<std::vector<int>>( 12, rc::gen::inRange( 0, 10 ) );
         for( const int step : steps ) {
             const auto name = std::string( "n" ) + std::to_string( step % 4 );
@@ -121,7 +121,7 @@
                 f.store.restoreCopy();
                 expectedNames = copiedNames;
             } else if( step == 8 ) {
-                f.store.keepCopy();
+                f.store.saveCopy();
                 copiedNames = expectedNames;
             } else if( step < 5 ) {
                 f.store.put( "things", name, f.store.revision() );
@@ -143,7 +143,7 @@
            "[store]" ) {
     FollowerFixture f;
     f.store.put( "things", "old", 1 );
-    f.store.keepCopy();
+    f.store.saveCopy();
     f.store.put( "things", "new", 1 );
     auto task = f.follower->run();
     net::start( f.context, std::move( task ), "follower" );
