--- a/src/gateway/model.hpp
+++ b/src/gateway/model.hpp
@@ -154,8 +154,8 @@
     std::uint64_t sequence = 0; //!< number of orders accepted
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
-    std::uint32_t prefilling =
-        0; //!< running requests without an event yet, whose prompts are being read
+    //! Running requests without an event yet, whose prompts are being read.
+    std::uint32_t prefilling = 0;
     std::int64_t cacheUsed = 0;
     std::int64_t cacheTotal = 0;
     std::vector<EngineRun> runs; //!< not forwarded to gateways
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -62,9 +62,9 @@
     MonoTime lastReceivedAt;  //!< last time that bytes arrived over any of its connections
     double readingWaitMs = 0; //!< until the engine could begin with a prompt, by its sidecar
     MonoTime readingWaitAt;   //!< when the sidecar sent that value
-    std::map<std::string, MonoTime>
-        loading;                     //!< models that this gateway waits for, with the wait's start
-    std::vector<SentPart> sentParts; //!< shared prompt parts sent since the last demand message
+    //! Models that this gateway waits for, with the wait's start.
+    std::map<std::string, MonoTime> loading;
+    std::vector<SentPart> sentParts;    //!< shared prompt parts sent since the last demand message
     std::set<std::string> adaptersUsed; //!< MODEL/NAME sent since the last demand message
     std::map<std::string, int, std::less<>> running; //!< in flight, by MODEL and by MODEL/NAME
 
--- a/src/gateway/organisation.hpp
+++ b/src/gateway/organisation.hpp
@@ -57,8 +57,8 @@
     std::vector<KeyDigest> keys;
     std::optional<int> priority; //!< overrides the routes' priority; 0 is the highest
     QuotaLimit limit;
-    std::vector<std::string>
-        homeRegions; //!< its requests are served in these only; empty: anywhere
+    //! The organisation's requests are served in these regions only; empty: anywhere.
+    std::vector<std::string> homeRegions;
 };
 
 } // namespace coursehead::gateway
--- a/src/gateway/reading_budget.cpp
+++ b/src/gateway/reading_budget.cpp
@@ -10,8 +10,8 @@
 
 // Parts of the gap target that may be spent on reading within any period of one gap target: burst
 // and share add up to 0.8, and the rest is for the steps of the streams' own tokens. Larger values
-// make streams pause too long. Smaller ones (a burst of 0.2, a share of 0.4) lose 2 to 3 % of the
-// answers' value.
+// make streams pause too long. Smaller bursts (0.2 and 0.12) lose 2 to 3 % of the answers' value; a
+// share of 0.4 makes no difference.
 constexpr double burstPart = 0.3;
 constexpr double readingShare = 0.5;
 //! Share that every gateway may use, however much the others use.
--- a/src/sidecar/admission.cpp
+++ b/src/sidecar/admission.cpp
@@ -12,9 +12,9 @@
 using gateway::EnsureOutcome;
 
 // Parts of the gap target, for the pauses between events while prompts are read: up to the first,
-// prompt reading is not limited; above the second it is limited again. The pauses are measured
-// mostly with short prompts, and long prompts lengthen them further, so the
-// upper part leaves a margin: 0.75 cost a loaded day 4% of its score.
+// prompt reading is not limited; above the second it is limited again. The first part leaves a
+// margin, because the pauses are measured mostly with short prompts and long prompts lengthen them
+// further: a first part of 0.75 cost a loaded day 4% of its worth.
 constexpr double liftLimitPart = 0.5;
 constexpr double restoreLimitPart = 0.65;
 
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -25,8 +25,8 @@
         std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome,
                             Millis wait, double workMs )>
             answer;
-        std::function<void( PendingEnsure ensure )>
-            notResident; //!< its model or adapter was unloaded
+        //! The ensure's model or adapter was unloaded.
+        std::function<void( PendingEnsure ensure )> notResident;
         std::function<void( const PendingEnsure& ensure )> admitted; //!< its prompt is admitted now
     };
 
