--- a/src/decide/completed_runs.hpp
+++ b/src/decide/completed_runs.hpp
@@ -10,11 +10,12 @@
 namespace coursehead::decide {
 
 /**
- * Contents of requests that completed recently. The first upstream end of such a content is not
- * counted as poison evidence: identical lookups from many callers would otherwise collect the ends
- * of a whole service. Only the first end is excused, because a content that completed before may be
- * poison for the next version of a model. The table is a direct-mapped cache of 32 KB, so that a
- * content may overwrite an earlier one.
+ * Contents of requests that completed recently. When an upstream ends while it runs such a content,
+ * the first end is not counted as poison evidence: a lookup that many callers make runs on all
+ * upstreams of a service, and would otherwise be charged with the ends of all of them. Only the
+ * first end is excused, because a content that completed before may be poison for the next version
+ * of a model. The table is a direct-mapped cache of 32 KB, so that a content may overwrite an
+ * earlier one.
  */
 class CompletedRuns {
 public:
--- a/src/decide/gateway_quotas.hpp
+++ b/src/decide/gateway_quotas.hpp
@@ -51,7 +51,7 @@
     //! Units that expired before they were spent, to be returned to their holders.
     struct Unused {
         std::string holder;
-        QuotaReturn back;
+        QuotaReturn quotaReturn;
     };
     std::vector<Unused> takeUnused( MonoTime now );
     //! Spends units of this gateway's reserve, for which no holder is asked; false when the reserve
--- a/src/decide/limit_holder.cpp
+++ b/src/decide/limit_holder.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-//! What upstreams tolerate beyond their limits, from all gateways together: half of what a limit
-//! allows within the window, and a few requests that are in flight when the limit is named.
+//! Excess over their limits that upstreams tolerate, from all gateways together: half of the
+//! requests that a limit allows within the window, and a few that are in flight when the limit is
+//! named.
 constexpr QuotaRule limitRule{ Millis( 4000 ), 0.5, 5 };
 //! Burst of an unused limit: one request, and the limit's rate for this many seconds.
 constexpr double burstS = 0.5;
--- a/src/decide/poison_counter.hpp
+++ b/src/decide/poison_counter.hpp
@@ -16,7 +16,8 @@
     //! `threshold`: weight of ends at which a content is quarantined; an end weighs 1 at most.
     explicit PoisonCounter( double threshold = quarantineThreshold ) : m_threshold( threshold ) {}
 
-    //! Counts an upstream's end for a content, and returns the quarantine if the weight suffices.
+    //! Counts an upstream's end as evidence against a content, and returns the quarantine if the
+    //! weight suffices.
     //! The same end may be reported by several gateways, and for several requests with the same
     //! content; it counts once.
     std::optional<Quarantine> note( const InterruptedRun& run, std::string_view upstreamId,
--- a/src/gateway/fleet.hpp
+++ b/src/gateway/fleet.hpp
@@ -68,7 +68,7 @@
     void adopt( std::shared_ptr<SidecarLink> link );
     //! Updates the nodes to match the registry.
     void sync( const std::map<std::string, Member>& members, MonoTime now );
-    //! The same for the changed members only.
+    //! Updates the nodes of the changed members only.
     void sync( const std::map<std::string, Member>& members, const std::set<std::string>& changed,
                MonoTime now );
     void setConfiguration( std::shared_ptr<const RouteTable> table, MonoTime now );
@@ -76,7 +76,7 @@
     //! earlier.
     void setEvacuations( const std::set<std::string>& halls, MonoTime now );
     //! Starts or ends the evacuation of a hall.
-    void setEvacuation( const std::string& hall, bool emptied, MonoTime now );
+    void setEvacuation( const std::string& hall, bool evacuated, MonoTime now );
     //! Periodic work: selects connections, sends demand to the sidecars and adds replicas.
     void tick( MonoTime now );
 
--- a/src/gateway/fleet_copies.cpp
+++ b/src/gateway/fleet_copies.cpp
@@ -29,8 +29,8 @@
     }
 }
 
-void Fleet::setEvacuation( const std::string& hall, bool emptied, MonoTime now ) {
-    if( emptied ) {
+void Fleet::setEvacuation( const std::string& hall, bool evacuated, MonoTime now ) {
+    if( evacuated ) {
         startEvacuation( hall, true, now );
     } else {
         endEvacuation( hall, now );
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -130,8 +130,8 @@
         out.evacuations = [this]( const std::set<std::string>& halls ) {
             m_fleet.setEvacuations( halls, MonoClock::now() );
         };
-        out.evacuation = [this]( const std::string& hall, bool emptied ) {
-            m_fleet.setEvacuation( hall, emptied, MonoClock::now() );
+        out.evacuation = [this]( const std::string& hall, bool evacuated ) {
+            m_fleet.setEvacuation( hall, evacuated, MonoClock::now() );
         };
         return out;
     }
--- a/src/gateway/messages.hpp
+++ b/src/gateway/messages.hpp
@@ -25,7 +25,7 @@
     std::string gateway;
     std::uint64_t configVersion = 0;
     std::string upstreamId;       //!< current start of the engine
-    StartTime born = 0;           //!< likewise
+    StartTime born = 0;           //!< when that start took place
     std::int64_t gapTargetMs = 0; //!< longest pause in a stream that is not late; 0: none is set
     EngineSpecKey spec = 0;       //!< key of the engine's description
 };
--- a/src/gateway/node.hpp
+++ b/src/gateway/node.hpp
@@ -79,13 +79,13 @@
     void takeAnnouncement( const decide::Announcement& announcement, int gateways, MonoTime now );
     //! True while new requests may be sent to the upstream.
     bool takesRequests() const { return !gone && !replaced && !leaving(); }
-    //! The same, and its hall is not evacuated at `now`.
+    //! True while new requests may be sent to the upstream and its hall is not evacuated at `now`.
     bool takesRequests( MonoTime now ) const {
         return takesRequests() && ( !stopAt || now < *stopAt );
     }
-    //! The same, and no back-off is in force that the upstream has asked this gateway for. Requests
-    //! sent during a back-off (105 within one of 2.5 s) were refused again because the upstream was
-    //! full.
+    //! True if takesRequests( now ), and the upstream has not asked this gateway for a back-off
+    //! that is still in force. Requests sent during a back-off (105 within one of 2.5 s) were
+    //! refused again because the upstream was full.
     bool isAvailable( MonoTime now ) const {
         return takesRequests( now ) && announced.backoffLeft( now ).count() == 0;
     }
--- a/src/gateway/quota_client.cpp
+++ b/src/gateway/quota_client.cpp
@@ -51,7 +51,7 @@
     for( const auto& it : m_gatewayQuotas.takeUnused( now ) ) {
         const auto link = m_links.find( it.holder );
         if( link ) {
-            link->send( Message( it.back ) );
+            link->send( Message( it.quotaReturn ) );
         }
     }
     if( now - m_updatesSentAt >= updateInterval ) {
--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -360,12 +360,12 @@
 
 net::Task<Exchange::SendResult> Exchange::receiveBuffered( Transfer& transfer ) {
     SendResult out;
-    auto whole = transfer.answerHead();
+    auto buffered = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
         const auto [bytes, ec] = co_await transfer.readBody();
-        whole.body.append( bytes );
-        if( ec || whole.body.size() > maxBufferedAnswerBytes ) {
+        buffered.body.append( bytes );
+        if( ec || buffered.body.size() > maxBufferedAnswerBytes ) {
             out.failure = ec ? ec.message() : "answer too large";
             break;
         }
@@ -379,21 +379,21 @@
     }
     if( head.responseClass != ResponseClass::complete ) {
         out.end = SendOutcome::notRun;
-        out.failure = "status " + std::to_string( whole.status );
+        out.failure = "status " + std::to_string( buffered.status );
         co_return out;
     }
     if( !complete ) {
         out.end = late ? SendOutcome::stopped : SendOutcome::lost;
-        out.connectionBroke = !late && whole.body.size() <= maxBufferedAnswerBytes;
+        out.connectionBroke = !late && buffered.body.size() <= maxBufferedAnswerBytes;
         co_return out;
     }
-    if( !head.sealed && whole.status < firstNonSuccessStatus ) {
+    if( !head.sealed && buffered.status < firstNonSuccessStatus ) {
         out.failure = "unsigned answer";
         co_return out;
     }
-    out.end = outcomeOfAnswer( transfer, whole.status );
-    out.failure = "status " + std::to_string( whole.status );
-    m_answer = std::move( whole );
+    out.end = outcomeOfAnswer( transfer, buffered.status );
+    out.failure = "status " + std::to_string( buffered.status );
+    m_answer = std::move( buffered );
     co_return out;
 }
 
--- a/src/gateway/store_feed.cpp
+++ b/src/gateway/store_feed.cpp
@@ -132,15 +132,15 @@
     m_handlers.evacuations( all );
 }
 
-void StoreFeed::applyEvacuation( const std::string& hall, bool emptied ) {
+void StoreFeed::applyEvacuation( const std::string& hall, bool evacuated ) {
     // The evacuation was written again, or ended, after the restore.
     m_heldHalls.erase( hall );
-    if( emptied ) {
+    if( evacuated ) {
         m_evacuatedHalls.insert( hall );
     } else {
         m_evacuatedHalls.erase( hall );
     }
-    m_handlers.evacuation( hall, emptied );
+    m_handlers.evacuation( hall, evacuated );
 }
 
 void StoreFeed::expireHeldHalls( MonoTime now ) {
--- a/src/gateway/store_feed.hpp
+++ b/src/gateway/store_feed.hpp
@@ -27,7 +27,7 @@
     //! All halls under evacuation.
     std::function<void( const std::set<std::string>& halls )> evacuations;
     //! The evacuation of a hall has started or ended.
-    std::function<void( const std::string& hall, bool emptied )> evacuation;
+    std::function<void( const std::string& hall, bool evacuated )> evacuation;
 };
 
 /**
@@ -58,7 +58,7 @@
     FollowerHandlers evacuationHandlers();
     void applyEvacuations( const StoreUpdate& update );
     void applyEvacuations( std::set<std::string> halls, MonoTime now );
-    void applyEvacuation( const std::string& hall, bool emptied );
+    void applyEvacuation( const std::string& hall, bool evacuated );
     //! Ends the evacuation of halls that only the store's history before its restore names, once
     //! they have not been written again in time.
     void expireHeldHalls( MonoTime now );
--- a/src/sidecar/quarantine_keeper.hpp
+++ b/src/sidecar/quarantine_keeper.hpp
@@ -12,8 +12,9 @@
 
 namespace coursehead::sidecar {
 
-//! Counts the upstreams that ended under each content assigned to this process, sends the resulting
-//! quarantines to gateways, and writes them to the store for gateways that start later.
+//! Counts the upstreams that ended while they ran a content, for each content assigned to this
+//! process; sends the resulting quarantines to gateways, and writes them to the store for gateways
+//! that start later.
 class QuarantineKeeper {
 public:
     using Broadcast = std::function<void( const decide::Quarantine& quarantine )>;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -34,10 +34,11 @@
 
 //! Time between two polls of the engine's report while no request waits for the engine.
 constexpr Millis idlePollInterval{ 150 };
-//! Likewise while prompts are read: the prompt gate follows the engine's progress in reading them.
+//! Time between two polls while prompts are read: the prompt gate follows the engine's progress in
+//! reading them.
 constexpr Millis readingPollInterval{ 40 };
-//! Likewise while an ensure request waits for a load: adapters load within some ten milliseconds,
-//! models within seconds.
+//! Time between two polls while an ensure request waits for a load: adapters load within some ten
+//! milliseconds, models within seconds.
 constexpr Millis loadPollInterval{ 12 };
 //! An ensure request that is not met within this time is answered as failed, and the gateway tries
 //! another engine.
--- a/tests/promise/poison.tests.cpp
+++ b/tests/promise/poison.tests.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-//! Upstreams that may end under one request: three as the evidence for a quarantine, and those that
-//! received the request before all gateways knew of the quarantine.
+//! Upstreams that one poison request may end: three that are the evidence for its quarantine, and
+//! those that received the request before all gateways knew of the quarantine.
 constexpr int maxEndedUpstreams = 5;
 
 std::string pathOf( const char* route ) {
--- a/tests/replay/quota_world.cpp
+++ b/tests/replay/quota_world.cpp
@@ -334,7 +334,7 @@
             candidates.push_back( { m_holders[h].name, answers } );
         }
         for( const auto& it : gateway.quotas->takeUnused( m_now ) ) {
-            send( n, indexOf( it.holder ), true, it.back );
+            send( n, indexOf( it.holder ), true, it.quotaReturn );
         }
         if( gateway.quotas->setCandidates( candidates, m_load.gateways, m_now ) ) {
             sendUpdates( n );
--- a/tests/replay/quota_world.hpp
+++ b/tests/replay/quota_world.hpp
@@ -27,7 +27,7 @@
     int holders = 39;
     double limitPerS = 29000;   //!< in tokens
     double demandFactor = 0.55; //!< requested tokens, over the limit
-    double hotDemandFactor = 0; //!< likewise from `hotFrom` to `hotTo`; 0: no such time
+    double hotDemandFactor = 0; //!< demandFactor from `hotFrom` to `hotTo`; 0: no such time
     Millis hotFrom{ 0 };
     Millis hotTo{ 0 };
     double skew = 1; //!< the gateway with most requests receives this many times the mean
--- a/tests/support/object_store.hpp
+++ b/tests/support/object_store.hpp
@@ -37,7 +37,8 @@
     std::uint64_t revision() const { return m_revision; }
     //! Calls received so far, watches included.
     std::uint64_t calls() const { return m_calls; }
-    //! Those of the calls that accept a list some seconds old; the store charges a tenth for these.
+    //! Number of list calls that accept a list some seconds old; the store charges a tenth for
+    //! them.
     std::uint64_t staleListCalls() const { return m_staleListCalls; }
 
     void put( const std::string& kind, const std::string& name, nlohmann::json specification );
