--- a/src/gateway/estimate.cpp
+++ b/src/gateway/estimate.cpp
@@ -24,12 +24,13 @@
 //! Penalty for another hall. Sending the 18 KB of a review request across halls costs about 1 % of
 //! the request's value; the penalty in time is a tenth of that.
 constexpr double crossHallMs = 4;
-//! The same for plain services; larger, as their upstreams cache nothing that would favour one.
+//! Penalty for another hall at plain services. It is larger than for engines, because the upstreams
+//! cache nothing that would favour one of them.
 constexpr double plainCrossHallMs = 15;
 //! Penalty for another region: asking the engine's sidecar and sending the request take a round
 //! trip of tens of milliseconds each, and transferring the bytes over narrow links as much again.
 constexpr double crossRegionMs = 240;
-//! The same for plain services: one round trip, and as much again for the bytes.
+//! Penalty for another region at plain services: one round trip, and as much again for the bytes.
 constexpr double plainCrossRegionMs = 120;
 //! Penalty for a load, because it evicts another model: a load is chosen only if it saves more than
 //! this.
--- a/src/sidecar/relay.cpp
+++ b/src/sidecar/relay.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-//! Failed writes after which a relay stops to write missing quarantines again. Every relay writes
-//! them, so each one tries for a few seconds only.
+//! After this many failed writes a relay gives up rewriting the quarantines that a restored copy
+//! lacks. Every relay rewrites them, so each one tries for a few seconds only.
 constexpr int maxWriteTries = 10;
 constexpr Millis writeRetryDelay{ 500 };
 constexpr Millis writeCallLimit{ 1000 };
