--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -33,7 +33,7 @@
     std::size_t tokens = 0;
 };
 
-double percentile( std::vector<double>& values, double share ) {
+double valueAtShare( std::vector<double>& values, double share ) {
     if( values.empty() ) {
         return 0;
     }
@@ -133,7 +133,7 @@
         "streams=%d whole=%zu broken=%zu tokens_per_s=%.0f first_p50=%.2fms first_p99=%.2fms "
         "between_p50=%.2fms between_p99=%.2fms seconds=%.1f\n",
         streams, samples.complete, samples.broken, static_cast<double>( samples.tokens ) / seconds,
-        percentile( samples.first, 0.5 ), percentile( samples.first, 0.99 ),
-        percentile( samples.between, 0.5 ), percentile( samples.between, 0.99 ), seconds );
+        valueAtShare( samples.first, 0.5 ), valueAtShare( samples.first, 0.99 ),
+        valueAtShare( samples.between, 0.5 ), valueAtShare( samples.between, 0.99 ), seconds );
     return samples.broken == 0 ? 0 : 1;
 }
