--- a/include/coursehead/config/change.hpp
+++ b/include/coursehead/config/change.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-//! Changes of the configuration, as pure functions from one state to the next.
+//! Changes of the configuration: pure functions that compute the next state from the current one.
 namespace coursehead::config {
 
 enum class Action { create, set, remove };
@@ -29,14 +29,14 @@
     std::vector<FieldValue> fields;
 };
 
-//! Changes that are accepted together or not at all.
+//! Changes that are applied atomically: all of them or none.
 struct ChangeSet {
-    std::string writeId; //!< unique; settles whether a write whose answer was lost took effect
+    std::string writeId; //!< unique; tells whether a write took effect when its response was lost
     std::string author;
     std::vector<Change> changes;
 };
 
-//! Why a change is not acceptable; names the object, the field and the value.
+//! The reason why a change is rejected, with the object, the field and the value.
 struct ConfigError {
     Kind kind = Kind::model;
     std::string name;
@@ -45,27 +45,27 @@
     std::string message;
 };
 
-//! The error in one sentence.
+//! Formats the error as one sentence.
 std::string describe( const ConfigError& error );
 
 std::string_view kindName( Kind kind );
-//! Finds a kind by its singular or plural word; false when there is none.
+//! Finds a kind by its singular or plural name; false when there is none.
 bool kindFromName( std::string_view word, Kind& out );
 
-//! The state after the whole set, one revision up; or ConfigError and no change.
+//! Returns the state after all changes of the set, with the next revision; or a ConfigError.
 boost::leaf::result<State> apply( const State& state, const ChangeSet& set );
 
-//! True when both sets touch the same object.
+//! True when both sets change the same object.
 bool overlaps( const ChangeSet& a, const ChangeSet& b );
 
-//! An object's fields as text, for showing; empty when there is no such object.
+//! Returns an object's fields as text, for display; empty when there is no such object.
 std::vector<FieldValue> fieldsOf( const State& state, Kind kind, std::string_view name );
-//! The names of all objects of a kind, in order.
+//! Returns the names of all objects of a kind, sorted (slots by number).
 std::vector<std::string> namesOf( const State& state, Kind kind );
 
-//! Reads "8GiB", "512MiB", "1000" as bytes; false when malformed.
+//! Parses "8GiB", "512MiB", "1000" as bytes; false when malformed.
 bool parseBytes( std::string_view text, std::uint64_t& out );
-//! Bytes with the largest unit that divides them: "8GiB".
+//! Formats bytes with the largest unit that divides them, such as "8GiB".
 std::string formatBytes( std::uint64_t bytes );
 
 } // namespace coursehead::config
--- a/include/coursehead/config/committer.hpp
+++ b/include/coursehead/config/committer.hpp
@@ -12,20 +12,20 @@
 
 enum class CommitStatus {
     committed,
-    rejected,    //!< the change set is not valid; see `error`
-    conflict,    //!< another operator changed one of the same objects meanwhile
+    rejected,    //!< the change set is not valid; `error` has the reason
+    conflict,    //!< a later revision than the base changed one of the same objects
     unavailable, //!< the store can't be reached and nothing was changed
-    unknown,     //!< the write's outcome could not be settled in time
+    unknown,     //!< a write may have taken effect; the deadline passed before this was known
 };
 
 struct CommitResult {
     CommitStatus status = CommitStatus::unavailable;
-    Revision revision = 0; //!< the revision made, when committed
+    Revision revision = 0; //!< the new revision, when committed
     ConfigError error;
     std::string detail;
 };
 
-//! Where a commit reads and writes, and the clock that bounds it.
+//! The store and the replica that a commit uses, and the clock for its deadline.
 struct CommitContext {
     const platform::ObjectStore& store;
     Replica& replica;
@@ -33,9 +33,10 @@
 };
 
 /**
- * Commits a change set by one conditional update of the head object. A lost answer is settled by
- * reading the head back and looking for the set's write id. `base` is the revision that the
- * operator looked at: a later change of the same object makes this one a conflict.
+ * Commits a change set by one conditional update of the head object. When the response to the
+ * update is lost, the head is read again and searched for the set's write id. `base` is the
+ * revision that the operator has seen: when a later revision changed one of the same objects, the
+ * result is a conflict.
  */
 CommitResult commit( const CommitContext& context, const ChangeSet& set, Revision base,
                      MonoTime deadline );
@@ -43,7 +44,7 @@
 //! Checks a change set against the replica's state without writing anything.
 CommitResult dryRun( const State& state, const ChangeSet& set );
 
-//! Reads a snapshot object.
+//! Returns a reader that loads snapshot objects from the store.
 SnapshotReader snapshotReader( const platform::ObjectStore& store );
 
 } // namespace coursehead::config
--- a/include/coursehead/config/replica.hpp
+++ b/include/coursehead/config/replica.hpp
@@ -13,39 +13,41 @@
 
 namespace coursehead::config {
 
-//! Reads the snapshot of a revision from the store; empty when it can't be had.
+//! Reads the snapshot of a revision from the store; empty when it is missing or unreadable.
 using SnapshotReader = std::function<std::optional<State>( Revision revision )>;
 
 //! Counters for /metrics.
 struct ReplicaStats {
     std::atomic<std::uint64_t> adopted{ 0 };
-    std::atomic<std::uint64_t> olderDropped{ 0 }; //!< offers that would have stepped back
+    std::atomic<std::uint64_t> olderDropped{ 0 }; //!< heads ignored: older revision
     std::atomic<std::uint64_t> invalid{ 0 };
 };
 
 /**
- * A process's copy of the configuration. It is moved up by whatever brings a committed head: the
- * store's watch or a peer. It never moves down.
+ * A process's copy of the configuration. It takes committed heads from the store's watch and from
+ * peers, and its revision never decreases.
  */
 class Replica {
 public:
-    //! Takes a head; fetches a snapshot when the tail does not reach. True when the state moved.
+    //! Takes a head; reads a snapshot when the tail starts too late for the state. True when the
+    //! state changed.
     bool offer( const Head& head, const SnapshotReader& snapshots );
-    //! Takes what a peer passed on.
+    //! Takes an update from a peer. True when the state changed.
     bool offer( const peer::ConfigNews& news );
 
-    //! The state in force.
+    //! Returns the current state.
     std::shared_ptr<const State> state() const;
     Revision revision() const;
-    //! What a peer at `revision` needs to catch up; empty when it is not behind.
+    //! Returns the update for a peer at `revision`; empty when the peer is up to date.
     std::optional<peer::ConfigNews> newsFor( Revision revision ) const;
 
-    //! Called after each move, on the thread that brought it. Set before the first offer.
+    //! Sets the listener for state changes. It is called on the thread that called offer(), and
+    //! must be set before the first offer().
     void onChange( std::function<void( const State& state )> listener );
     const ReplicaStats& stats() const noexcept { return m_stats; }
 
 private:
-    bool move( const Head& head, const std::optional<State>& base );
+    bool advance( const Head& head, const std::optional<State>& base );
 
     mutable std::mutex m_mutex;
     std::shared_ptr<const State> m_state = std::make_shared<const State>();
--- a/include/coursehead/operator/language.hpp
+++ b/include/coursehead/operator/language.hpp
@@ -12,7 +12,7 @@
 //! The operators' query and command language; docs/commands.md describes it.
 namespace coursehead::op {
 
-//! `FIELD = VALUE` or `FIELD != VALUE` behind `where`.
+//! `FIELD = VALUE` or `FIELD != VALUE` in a `where` clause.
 struct Condition {
     std::string field;
     std::string comparison;
@@ -44,8 +44,8 @@
 
 using Statement = std::variant<Show, Why, Edit, Begin, Commit>;
 
-//! A statement and where it stands in the text; both counts start at 1.
-struct Located {
+//! A statement and its position in the text; lines and columns start at 1.
+struct LocatedStatement {
     Statement statement;
     std::size_t line = 1;
     std::size_t column = 1;
@@ -55,19 +55,19 @@
     std::size_t line = 1;
     std::size_t column = 1;
     std::string expected;
-    std::string found; //!< the text at the place, shortened
+    std::string found; //!< the text at the position, shortened
 };
 
 struct ParsedText {
     bool ok = false;
-    std::vector<Located> statements;
+    std::vector<LocatedStatement> statements;
     SyntaxError error;
 };
 
-//! Parses a whole text; never throws.
+//! Parses all statements of a text; never throws.
 ParsedText parse( std::string_view text );
 
-//! The error as one sentence.
+//! Formats the error as one sentence.
 std::string describe( const SyntaxError& error );
 
 } // namespace coursehead::op
--- a/src/caller/api.cpp
+++ b/src/caller/api.cpp
@@ -27,17 +27,18 @@
 constexpr std::int64_t maxDeadlineMs = 3600000;
 constexpr std::int64_t millisPerSecond = 1000;
 
-bool parseWhole( std::string_view text, std::uint64_t& out ) {
+bool parseNumber( std::string_view text, std::uint64_t& out ) {
     const auto* end = text.data() + text.size();
     const auto [ptr, ec] = std::from_chars( text.data(), end, out );
     return !text.empty() && ec == std::errc() && ptr == end;
 }
 
-Failure bad( std::string message ) {
+Failure badRequestFailure( std::string message ) {
     return { Reason::badRequest, Outcome::notRun, std::move( message ), {}, 0 };
 }
 
-//! Takes the targets of the request's class.
+//! Copies the priority and the first-token target of the request's class to the call; an unknown
+//! class has the defaults.
 void applyClass( const config::State& state, CallRequest& call ) {
     const auto* found = config::findByName( state.classes, call.requestClass );
     const config::RequestClass targets = found == nullptr ? config::RequestClass{} : *found;
@@ -45,24 +46,25 @@
     call.patience = Millis( targets.firstTokenMs );
 }
 
-//! Times the pieces of one answer.
-class Stopwatch {
+//! Measures the latency of each token and the duration of one answer.
+class AnswerTimer {
 public:
-    Stopwatch( entry::CallContext& context, std::string requestClass, std::string who )
-        : m_context( context ), m_class( std::move( requestClass ) ), m_caller( std::move( who ) ),
-          m_begin( context.clock.now() ), m_last( m_begin ) {}
+    AnswerTimer( entry::CallContext& context, std::string requestClass, std::string callerName )
+        : m_context( context ), m_class( std::move( requestClass ) ),
+          m_caller( std::move( callerName ) ), m_startedAt( context.clock.now() ),
+          m_lastTokenAt( m_startedAt ) {}
 
     void token() {
         const auto now = m_context.clock.now();
-        m_context.metrics.observe( m_first ? metrics::Series::firstToken
-                                           : metrics::Series::betweenTokens,
-                                   m_class, m_caller, since( m_last, now ) );
-        m_first = false;
-        m_last = now;
+        m_context.metrics.observe( m_awaitsFirstToken ? metrics::Series::firstToken
+                                                      : metrics::Series::betweenTokens,
+                                   m_class, m_caller, since( m_lastTokenAt, now ) );
+        m_awaitsFirstToken = false;
+        m_lastTokenAt = now;
     }
     void end( std::string_view outcome ) {
         m_context.metrics.observe( metrics::Series::request, m_class, m_caller,
-                                   since( m_begin, m_context.clock.now() ) );
+                                   since( m_startedAt, m_context.clock.now() ) );
         m_context.metrics.count( "requests", outcome );
     }
 
@@ -74,12 +76,13 @@
     entry::CallContext& m_context;
     std::string m_class;
     std::string m_caller;
-    MonoTime m_begin;
-    MonoTime m_last;
-    bool m_first = true;
+    MonoTime m_startedAt;
+    MonoTime m_lastTokenAt;
+    bool m_awaitsFirstToken = true;
 };
 
-void logEnd( const CallRequest& request, std::string_view outcome, std::string_view reason ) {
+void logRequestEnd( const CallRequest& request, std::string_view outcome,
+                    std::string_view reason ) {
     log::info( "request_end", { { "request", request.requestId },
                                 { "caller", request.caller },
                                 { "class", request.requestClass },
@@ -97,7 +100,7 @@
     return m_random.hex( requestIdDigits );
 }
 
-CallerApi::Slot CallerApi::takeSlot() {
+CallerApi::Slot CallerApi::acquireSlot() {
     auto counter = m_inFlight;
     if( counter->fetch_add( 1 ) >= m_settings.maxSessions ) {
         counter->fetch_sub( 1 );
@@ -110,7 +113,7 @@
 
 http::Response CallerApi::fail( const Failure& failure, const CallRequest& request ) {
     m_context.metrics.count( "refusals", reasonCode( failure.reason ) );
-    logEnd( request, outcomeWord( failure.outcome ), reasonCode( failure.reason ) );
+    logRequestEnd( request, outcomeName( failure.outcome ), reasonCode( failure.reason ) );
     return errorResponse( failure, request.requestId );
 }
 
@@ -122,21 +125,22 @@
     out.method = request.method;
     out.contentType = request.header( "Content-Type", "application/json" );
     std::uint64_t ms = 0;
-    const bool named = parseWhole( request.header( deadlineHeader ), ms );
-    const auto limit =
-        named ? Millis( std::min<std::uint64_t>( ms, maxDeadlineMs ) ) : m_settings.defaultDeadline;
-    out.deadline = m_context.clock.now() + limit;
+    const bool deadlineGiven = parseNumber( request.header( deadlineHeader ), ms );
+    const auto timeout = deadlineGiven ? Millis( std::min<std::uint64_t>( ms, maxDeadlineMs ) )
+                                       : m_settings.defaultDeadline;
+    out.deadline = m_context.clock.now() + timeout;
     return out;
 }
 
-bool CallerApi::readKey( const http::Request& request, CallRequest& out, Failure& failure ) {
+bool CallerApi::readIdempotencyKey( const http::Request& request, CallRequest& out,
+                                    Failure& failure ) {
     const auto key = request.header( keyHeader );
     if( key.empty() ) {
         return true;
     }
     if( !claims::keyTime( key ) ) {
-        failure = bad( "header 'Idempotency-Key' = '" + std::string( key ) +
-                       "': expected a UUID of version 7" );
+        failure = badRequestFailure( "header 'Idempotency-Key' = '" + std::string( key ) +
+                                     "': expected a UUID of version 7" );
         return false;
     }
     out.key = key;
@@ -183,10 +187,10 @@
         return fail( parsed.failure, call );
     }
     Failure failure;
-    if( !readKey( request, call, failure ) ) {
+    if( !readIdempotencyKey( request, call, failure ) ) {
         return fail( failure, call );
     }
-    auto slot = takeSlot();
+    auto slot = acquireSlot();
     if( !slot ) {
         return fail( { Reason::full, Outcome::notRun, "this entry has no room for another request",
                        m_settings.drainRetryAfter, 0 },
@@ -209,78 +213,78 @@
 
 http::Response CallerApi::answer( const CompletionRequest& parsed, std::shared_ptr<Call> call,
                                   const CallRequest& request, Slot slot ) {
-    const AnswerNames names{ parsed.api, request.requestId,
-                             parsed.target.adapter.empty() ? parsed.target.name
-                                                           : parsed.target.adapter,
-                             m_context.clock.wall() / millisPerSecond };
+    const EnvelopeFields envelopeFields{ parsed.api, request.requestId,
+                                         parsed.target.adapter.empty() ? parsed.target.name
+                                                                       : parsed.target.adapter,
+                                         m_context.clock.wall() / millisPerSecond };
     auto first = call->next();
     if( first.kind == CallEventKind::failed ) {
-        m_context.metrics.count( "requests", outcomeWord( first.failure.outcome ) );
+        m_context.metrics.count( "requests", outcomeName( first.failure.outcome ) );
         return fail( first.failure, request );
     }
-    return parsed.stream
-               ? stream( names, std::move( call ), std::move( first ), request, std::move( slot ) )
-               : collect( names, *call, std::move( first ), request );
+    return parsed.stream ? stream( envelopeFields, std::move( call ), std::move( first ), request,
+                                   std::move( slot ) )
+                         : collect( envelopeFields, *call, std::move( first ), request );
 }
 
-http::Response CallerApi::stream( const AnswerNames& names, std::shared_ptr<Call> call,
+http::Response CallerApi::stream( const EnvelopeFields& envelopeFields, std::shared_ptr<Call> call,
                                   CallEvent first, const CallRequest& request, Slot slot ) {
     struct Progress {
         std::shared_ptr<Call> call;
         CallEvent event;
         Slot slot;
-        Stopwatch watch;
+        AnswerTimer timer;
     };
     auto progress = std::make_shared<Progress>(
         Progress{ std::move( call ), std::move( first ), std::move( slot ),
-                  Stopwatch( m_context, request.requestClass, request.caller ) } );
+                  AnswerTimer( m_context, request.requestClass, request.caller ) } );
     http::Response out;
     out.contentType = "text/event-stream";
     out.headers["X-Request-Id"] = request.requestId;
     out.headers["X-Coursehead-Session"] = progress->call->session();
     out.headers["Cache-Control"] = "no-store";
-    out.producer = [progress, names, request]( const http::Sink& sink ) {
+    out.producer = [progress, envelopeFields, request]( const http::Sink& sink ) {
         for( ;; progress->event = progress->call->next() ) {
             const auto& event = progress->event;
             if( event.kind == CallEventKind::text ) {
-                progress->watch.token();
+                progress->timer.token();
                 const auto id = progress->call->session() + ":" +
                                 std::to_string( event.offset + event.text.size() );
-                if( !sink( textEvent( names, event.text, id ) ) ) {
-                    progress->watch.end( "caller-gone" );
-                    logEnd( request, "caller-gone", "" );
+                if( !sink( textEvent( envelopeFields, event.text, id ) ) ) {
+                    progress->timer.end( "caller-gone" );
+                    logRequestEnd( request, "caller-gone", "" );
                     return false;
                 }
                 continue;
             }
-            const bool whole = event.kind == CallEventKind::done;
-            const auto outcome = whole ? "ran" : outcomeWord( event.failure.outcome );
-            progress->watch.end( outcome );
-            logEnd( request, outcome, whole ? "" : reasonCode( event.failure.reason ) );
-            sink( whole ? lastEvents( names, event.done )
-                        : failureEvent( event.failure, request.requestId ) );
+            const bool finished = event.kind == CallEventKind::done;
+            const auto outcome = finished ? "ran" : outcomeName( event.failure.outcome );
+            progress->timer.end( outcome );
+            logRequestEnd( request, outcome, finished ? "" : reasonCode( event.failure.reason ) );
+            sink( finished ? finalEvents( envelopeFields, event.done )
+                           : failureEvent( event.failure, request.requestId ) );
             return true;
         }
     };
     return out;
 }
 
-http::Response CallerApi::collect( const AnswerNames& names, Call& call, CallEvent event,
-                                   const CallRequest& request ) {
-    Stopwatch watch( m_context, request.requestClass, request.caller );
+http::Response CallerApi::collect( const EnvelopeFields& envelopeFields, Call& call,
+                                   CallEvent event, const CallRequest& request ) {
+    AnswerTimer timer( m_context, request.requestClass, request.caller );
     std::string text;
     for( ; event.kind == CallEventKind::text; event = call.next() ) {
-        watch.token();
+        timer.token();
         text += event.text;
     }
     if( event.kind == CallEventKind::failed ) {
-        watch.end( outcomeWord( event.failure.outcome ) );
+        timer.end( outcomeName( event.failure.outcome ) );
         return fail( event.failure, request );
     }
-    watch.end( "ran" );
-    logEnd( request, "ran", "" );
+    timer.end( "ran" );
+    logRequestEnd( request, "ran", "" );
     http::Response out;
-    out.body = wholeBody( names, text, event.done );
+    out.body = completionBody( envelopeFields, text, event.done );
     out.headers["X-Request-Id"] = request.requestId;
     out.headers["X-Coursehead-Session"] = call.session();
     out.headers["X-Coursehead-Outcome"] = "ran";
@@ -311,7 +315,7 @@
                      call );
     }
     Failure failure;
-    if( !readKey( request, call, failure ) ) {
+    if( !readIdempotencyKey( request, call, failure ) ) {
         return fail( failure, call );
     }
     if( !service->repeatable && call.key.empty() ) {
@@ -327,21 +331,21 @@
         call.requestClass = service->requestClass;
     }
     applyClass( *state, call );
-    const auto slot = takeSlot();
+    const auto slot = acquireSlot();
     if( !slot ) {
         return fail( { Reason::full, Outcome::notRun, "this entry has no room for another request",
                        m_settings.drainRetryAfter, 0 },
                      call );
     }
-    Stopwatch watch( m_context, call.requestClass, call.caller );
+    AnswerTimer timer( m_context, call.requestClass, call.caller );
     Call running( m_context, call );
     const auto event = running.next();
     if( event.kind != CallEventKind::done ) {
-        watch.end( outcomeWord( event.failure.outcome ) );
+        timer.end( outcomeName( event.failure.outcome ) );
         return fail( event.failure, call );
     }
-    watch.end( "ran" );
-    logEnd( call, "ran", "" );
+    timer.end( "ran" );
+    logRequestEnd( call, "ran", "" );
     http::Response out;
     out.status = event.done.status;
     out.contentType = event.done.contentType;
@@ -357,24 +361,25 @@
     std::string_view last = request.header( "Last-Event-ID" );
     std::uint64_t offset = 0;
     const auto colon = last.rfind( ':' );
-    const bool usable = last.empty() || ( colon != std::string_view::npos &&
-                                          parseWhole( last.substr( colon + 1 ), offset ) );
-    if( !usable || session.find( '~' ) == std::string::npos ) {
-        return fail( bad( "header 'Last-Event-ID' = '" + std::string( last ) +
-                          "': expected the id of an event of this session" ),
+    const bool validEventId = last.empty() || ( colon != std::string_view::npos &&
+                                                parseNumber( last.substr( colon + 1 ), offset ) );
+    if( !validEventId || session.find( '~' ) == std::string::npos ) {
+        return fail( badRequestFailure( "header 'Last-Event-ID' = '" + std::string( last ) +
+                                        "': expected the id of an event of this session" ),
                      call );
     }
-    auto slot = takeSlot();
+    auto slot = acquireSlot();
     if( !slot ) {
         return fail( { Reason::full, Outcome::unknown, "this entry has no room for another request",
                        m_settings.drainRetryAfter, 0 },
                      call );
     }
-    // The id names where the text is now: a session that moved is found by its latest event.
-    const auto where = last.empty() ? session : std::string( last.substr( 0, colon ) );
+    // The event id holds the session that the text comes from: after a move to another session,
+    // only the latest event's id leads to the current one.
+    const auto currentSession = last.empty() ? session : std::string( last.substr( 0, colon ) );
     call.requestId = session.substr( 0, session.rfind( '~' ) );
     call.requestClass = "resumed";
-    auto running = std::make_shared<Call>( m_context, call, where, offset );
+    auto running = std::make_shared<Call>( m_context, call, currentSession, offset );
     CompletionRequest parsed;
     parsed.stream = true;
     return answer( parsed, std::move( running ), call, std::move( slot ) );
--- a/src/caller/api.hpp
+++ b/src/caller/api.hpp
@@ -9,12 +9,12 @@
 #include <atomic>
 #include <memory>
 
-//! The callers' HTTP interface of an entry.
+//! The HTTP interface of an entry for callers.
 namespace coursehead::caller {
 
 struct ApiSettings {
-    std::size_t maxSessions = 512;    //!< requests in progress at once
-    Millis defaultDeadline{ 120000 }; //!< when the caller names none
+    std::size_t maxSessions = 512;    //!< limit of requests in progress
+    Millis defaultDeadline{ 120000 }; //!< for requests without a deadline header
     Millis drainRetryAfter{ 1000 };
 };
 
@@ -28,29 +28,31 @@
 
     //! Answers one request of a caller.
     http::Response handle( const http::Request& request );
-    //! Refuses new requests from now on.
+    //! Makes handle() refuse new requests.
     void drain() noexcept { m_draining = true; }
     bool draining() const noexcept { return m_draining; }
     std::size_t inFlight() const noexcept { return *m_inFlight; }
-    //! A fresh request id.
+    //! Returns a new random request id.
     std::string makeRequestId();
 
 private:
+    //! Counts a request as in progress while it exists; null when the limit is reached.
     using Slot = std::shared_ptr<void>;
 
-    Slot takeSlot();
+    Slot acquireSlot();
     http::Response complete( Api api, const http::Request& request );
     http::Response callService( const http::Request& request );
     http::Response resume( const http::Request& request );
     http::Response answer( const CompletionRequest& parsed, std::shared_ptr<entry::Call> call,
                            const entry::CallRequest& request, Slot slot );
-    http::Response stream( const AnswerNames& names, std::shared_ptr<entry::Call> call,
+    http::Response stream( const EnvelopeFields& envelopeFields, std::shared_ptr<entry::Call> call,
                            entry::CallEvent first, const entry::CallRequest& request, Slot slot );
-    http::Response collect( const AnswerNames& names, entry::Call& call, entry::CallEvent event,
-                            const entry::CallRequest& request );
+    http::Response collect( const EnvelopeFields& envelopeFields, entry::Call& call,
+                            entry::CallEvent event, const entry::CallRequest& request );
     http::Response fail( const Failure& failure, const entry::CallRequest& request );
     entry::CallRequest baseRequest( const http::Request& request );
-    bool readKey( const http::Request& request, entry::CallRequest& out, Failure& failure );
+    bool readIdempotencyKey( const http::Request& request, entry::CallRequest& out,
+                             Failure& failure );
 
     ApiSettings m_settings;
     entry::CallContext& m_context;
--- a/src/caller/failure.cpp
+++ b/src/caller/failure.cpp
@@ -47,7 +47,7 @@
     return rowOf( reason ).code;
 }
 
-std::string_view outcomeWord( Outcome outcome ) {
+std::string_view outcomeName( Outcome outcome ) {
     switch( outcome ) {
     case Outcome::notRun:
         return "not-run";
@@ -71,7 +71,7 @@
               { "type", errorType( httpStatus( failure ) ) },
               { "param", nullptr },
               { "code", reasonCode( failure.reason ) },
-              { "outcome", outcomeWord( failure.outcome ) },
+              { "outcome", outcomeName( failure.outcome ) },
               { "retry_after_ms", failure.retryAfter.count() },
               { "request_id", requestId },
           } },
@@ -84,7 +84,7 @@
     out.status = httpStatus( failure );
     out.body = errorBody( failure, requestId );
     out.headers["X-Request-Id"] = requestId;
-    out.headers["X-Coursehead-Outcome"] = outcomeWord( failure.outcome );
+    out.headers["X-Coursehead-Outcome"] = outcomeName( failure.outcome );
     if( failure.retryAfter.count() > 0 ) {
         const auto seconds = std::chrono::ceil<std::chrono::seconds>( failure.retryAfter );
         out.headers["Retry-After"] = std::to_string( seconds.count() );
--- a/src/caller/openai.cpp
+++ b/src/caller/openai.cpp
@@ -11,19 +11,19 @@
 
 namespace {
 
-//! Bytes of the prompt's start that are taken as its cacheable prefix.
+//! Bytes at the start of the prompt that are hashed as its cacheable prefix.
 constexpr std::size_t prefixBytes = 256;
 
 std::string dump( const Json& json ) {
     return json.dump( -1, ' ', false, Json::error_handler_t::replace );
 }
 
-Failure bad( std::string message ) {
+Failure badRequestFailure( std::string message ) {
     return { Reason::badRequest, Outcome::notRun, std::move( message ), {}, 0 };
 }
 
-//! Why the fields are not acceptable; empty when they are.
-std::string fieldProblem( Api api, const Json& body ) {
+//! Returns the error of the first invalid field; empty when all fields are valid.
+std::string fieldError( Api api, const Json& body ) {
     if( !body.contains( "model" ) || !body["model"].is_string() ) {
         return "field 'model': expected a string";
     }
@@ -81,11 +81,11 @@
     return chunk ? "chat.completion.chunk" : "chat.completion";
 }
 
-Json envelope( const AnswerNames& names, bool chunk ) {
-    return Json{ { "id", names.requestId },
-                 { "object", objectName( names.api, chunk ) },
-                 { "created", names.created },
-                 { "model", names.model } };
+Json envelope( const EnvelopeFields& envelopeFields, bool chunk ) {
+    return Json{ { "id", envelopeFields.requestId },
+                 { "object", objectName( envelopeFields.api, chunk ) },
+                 { "created", envelopeFields.created },
+                 { "model", envelopeFields.model } };
 }
 
 Json usage( const peer::RunDone& done ) {
@@ -94,10 +94,10 @@
                  { "total_tokens", done.promptTokens + done.completionTokens } };
 }
 
-Json choice( const AnswerNames& names, std::string_view text, const Json& finishReason,
+Json choice( const EnvelopeFields& envelopeFields, std::string_view text, const Json& finishReason,
              std::string_view chatField ) {
     Json out{ { "index", 0 }, { "finish_reason", finishReason } };
-    if( names.api == Api::text ) {
+    if( envelopeFields.api == Api::text ) {
         out["text"] = text;
     } else {
         out[std::string( chatField )] = { { "role", "assistant" }, { "content", text } };
@@ -111,12 +111,12 @@
     ParsedCompletion out;
     const auto body = Json::parse( text, nullptr, false );
     if( !body.is_object() ) {
-        out.failure = bad( "the body is not a JSON object" );
+        out.failure = badRequestFailure( "the body is not a JSON object" );
         return out;
     }
-    const auto problem = fieldProblem( api, body );
-    if( !problem.empty() ) {
-        out.failure = bad( problem );
+    const auto error = fieldError( api, body );
+    if( !error.empty() ) {
+        out.failure = badRequestFailure( error );
         return out;
     }
     CompletionRequest request;
@@ -137,17 +137,18 @@
     return out;
 }
 
-std::string textEvent( const AnswerNames& names, std::string_view text, std::string_view eventId ) {
-    Json body = envelope( names, true );
-    body["choices"] = Json::array( { choice( names, text, nullptr, "delta" ) } );
+std::string textEvent( const EnvelopeFields& envelopeFields, std::string_view text,
+                       std::string_view eventId ) {
+    Json body = envelope( envelopeFields, true );
+    body["choices"] = Json::array( { choice( envelopeFields, text, nullptr, "delta" ) } );
     std::string out = "id: ";
     out += eventId;
     return out + "\ndata: " + dump( body ) + "\n\n";
 }
 
-std::string lastEvents( const AnswerNames& names, const peer::RunDone& done ) {
-    Json body = envelope( names, true );
-    body["choices"] = Json::array( { choice( names, "", done.finishReason, "delta" ) } );
+std::string finalEvents( const EnvelopeFields& envelopeFields, const peer::RunDone& done ) {
+    Json body = envelope( envelopeFields, true );
+    body["choices"] = Json::array( { choice( envelopeFields, "", done.finishReason, "delta" ) } );
     body["usage"] = usage( done );
     return "data: " + dump( body ) + "\n\ndata: [DONE]\n\n";
 }
@@ -156,10 +157,11 @@
     return "event: error\ndata: " + errorBody( failure, requestId ) + "\n\n";
 }
 
-std::string wholeBody( const AnswerNames& names, std::string_view text,
-                       const peer::RunDone& done ) {
-    Json body = envelope( names, false );
-    body["choices"] = Json::array( { choice( names, text, done.finishReason, "message" ) } );
+std::string completionBody( const EnvelopeFields& envelopeFields, std::string_view text,
+                            const peer::RunDone& done ) {
+    Json body = envelope( envelopeFields, false );
+    body["choices"] =
+        Json::array( { choice( envelopeFields, text, done.finishReason, "message" ) } );
     body["usage"] = usage( done );
     return dump( body );
 }
--- a/src/config/change.cpp
+++ b/src/config/change.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-struct KindWords {
+struct KindNames {
     Kind kind;
     std::string_view singular;
     std::string_view plural;
 };
-constexpr std::array<KindWords, 7> kindWords{ {
+constexpr std::array<KindNames, 7> kindNames{ {
     { Kind::model, "model", "models" },
     { Kind::adapter, "adapter", "adapters" },
     { Kind::service, "service", "services" },
@@ -37,13 +37,13 @@
                                          std::string( value ), std::move( message ) } );
 }
 
-bool validName( std::string_view name ) {
-    const auto good = []( char c ) {
+bool isValidName( std::string_view name ) {
+    const auto allowed = []( char c ) {
         return std::isalnum( static_cast<unsigned char>( c ) ) != 0 || c == '-' || c == '_' ||
                c == '.' || c == '/';
     };
     return !name.empty() && name.size() <= maxNameLength &&
-           std::all_of( name.begin(), name.end(), good );
+           std::all_of( name.begin(), name.end(), allowed );
 }
 
 template <typename T>
@@ -79,7 +79,7 @@
         if( exists ) {
             return fail( change, "", "", "it exists already" );
         }
-        if( !validName( change.name ) ) {
+        if( !isValidName( change.name ) ) {
             return fail( change, "name", change.name,
                          "expected 1 to 128 letters, digits, '-', '_', '.' or '/'" );
         }
@@ -126,7 +126,7 @@
     return {};
 }
 
-leaf::result<void> changeOne( State& state, const Change& it ) {
+leaf::result<void> applyChange( State& state, const Change& it ) {
     switch( it.kind ) {
     case Kind::model:
         return change( state.models, it );
@@ -146,8 +146,9 @@
     return {};
 }
 
-//! True when an empty upstream of some kind could hold a copy of the model.
-bool fitsSomewhere( const State& state, const Model& model ) {
+//! True when an empty upstream of at least one kind can hold a copy of the model, or when no
+//! upstreams are configured.
+bool fitsAnyUpstream( const State& state, const Model& model ) {
     if( state.upstreams.empty() ) {
         return true;
     }
@@ -158,24 +159,24 @@
 
 leaf::result<void> checkModels( const State& state ) {
     for( const auto& it : state.models ) {
-        const Change about{ Action::set, Kind::model, it.name, {} };
+        const Change subject{ Action::set, Kind::model, it.name, {} };
         if( it.memory == 0 ) {
-            return fail( about, "memory", "0", "a model needs memory above 0" );
+            return fail( subject, "memory", "0", "a model needs memory above 0" );
         }
-        if( !fitsSomewhere( state, it ) ) {
-            return fail( about, "memory", formatBytes( bytesPerAccelerator( it ) ),
+        if( !fitsAnyUpstream( state, it ) ) {
+            return fail( subject, "memory", formatBytes( bytesPerAccelerator( it ) ),
                          "no upstream has " + std::to_string( it.accelerators ) +
                              " accelerators of that much memory" );
         }
         if( it.requestClass != "standard" &&
             findByName( state.classes, it.requestClass ) == nullptr ) {
-            return fail( about, "class", it.requestClass, "there is no such class" );
+            return fail( subject, "class", it.requestClass, "there is no such class" );
         }
     }
     return {};
 }
 
-leaf::result<void> checkOthers( const State& state ) {
+leaf::result<void> checkOtherKinds( const State& state ) {
     for( const auto& it : state.adapters ) {
         if( findByName( state.models, it.model ) == nullptr ) {
             return fail( { Action::set, Kind::adapter, it.name, {} }, "model", it.model,
@@ -234,7 +235,7 @@
 }
 
 std::string_view kindName( Kind kind ) {
-    for( const auto& it : kindWords ) {
+    for( const auto& it : kindNames ) {
         if( it.kind == kind ) {
             return it.singular;
         }
@@ -243,7 +244,7 @@
 }
 
 bool kindFromName( std::string_view word, Kind& out ) {
-    for( const auto& it : kindWords ) {
+    for( const auto& it : kindNames ) {
         if( it.singular == word || it.plural == word ) {
             out = it.kind;
             return true;
@@ -255,19 +256,20 @@
 leaf::result<State> apply( const State& state, const ChangeSet& set ) {
     State next = state;
     for( const auto& it : set.changes ) {
-        BOOST_LEAF_CHECK( changeOne( next, it ) );
+        BOOST_LEAF_CHECK( applyChange( next, it ) );
     }
     BOOST_LEAF_CHECK( checkModels( next ) );
-    BOOST_LEAF_CHECK( checkOthers( next ) );
+    BOOST_LEAF_CHECK( checkOtherKinds( next ) );
     ++next.revision;
     return next;
 }
 
 bool overlaps( const ChangeSet& a, const ChangeSet& b ) {
-    return std::any_of( a.changes.begin(), a.changes.end(), [&b]( const Change& mine ) {
-        return std::any_of( b.changes.begin(), b.changes.end(), [&mine]( const Change& other ) {
-            return mine.kind == other.kind && mine.name == other.name;
-        } );
+    return std::any_of( a.changes.begin(), a.changes.end(), [&b]( const Change& changeOfA ) {
+        return std::any_of(
+            b.changes.begin(), b.changes.end(), [&changeOfA]( const Change& changeOfB ) {
+                return changeOfA.kind == changeOfB.kind && changeOfA.name == changeOfB.name;
+            } );
     } );
 }
 
--- a/src/config/committer.cpp
+++ b/src/config/committer.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr Millis retryPause{ 50 };
+constexpr Millis retryDelay{ 50 };
 
-//! The head as the store has it now.
+//! The result of reading the head from the store.
 struct HeadRead {
     bool ok = false;
     bool exists = false;
@@ -42,19 +42,19 @@
     return out;
 }
 
-//! What one try to write ended with.
+//! The outcome of one attempt to write the head.
 enum class WriteOutcome { written, lostRace, notWritten, unknown };
 
 WriteOutcome writeHead( const CommitContext& context, const HeadRead& read, const Head& next ) {
     Object object{ std::string( platform::configKind ), std::string( headName ), read.version,
                    toText( next ) };
-    const auto wrote = platform::attempt( [&] {
+    const auto writeResult = platform::attempt( [&] {
         return read.exists ? context.store.update( object ) : context.store.create( object );
     } );
-    if( wrote.ok ) {
+    if( writeResult.ok ) {
         return WriteOutcome::written;
     }
-    switch( wrote.error.failure ) {
+    switch( writeResult.error.failure ) {
     case StoreFailure::conflict:
     case StoreFailure::notFound:
         return WriteOutcome::lostRace;
@@ -73,16 +73,17 @@
     return out;
 }
 
-//! The state at the head; false when it can't be rebuilt.
+//! Computes the state at the head; false when it can't be rebuilt.
 bool stateAt( const CommitContext& context, const Head& head, State& out ) {
     context.replica.offer( head, snapshotReader( context.store ) );
     out = *context.replica.state();
     return out.revision == head.revision;
 }
 
-//! Stores a snapshot and cuts the tail when it has grown long; leaves the head alone on failure.
-Head cutIfLong( const CommitContext& context, const Head& head, const State& state ) {
-    if( !wantsCut( head ) ) {
+//! Stores a snapshot and trims the tail when it is too long; returns the head unchanged when the
+//! snapshot can't be stored.
+Head trimTailIfLong( const CommitContext& context, const Head& head, const State& state ) {
+    if( !needsTrim( head ) ) {
         return head;
     }
     const Object snapshot{ std::string( platform::configKind ), snapshotName( state.revision ), 0,
@@ -109,26 +110,26 @@
     return out;
 }
 
-//! One round: read, validate, write. `done` is false when the round has to be repeated.
-struct Round {
+//! One attempt to commit: read, validate, write. When `done` is false, it has to be repeated.
+struct CommitAttempt {
     bool done = false;
-    bool outcomeOpen = false; //!< a write was sent and its outcome is not known
+    bool outcomeUnknown = false; //!< a write was sent and its outcome is unknown
     CommitResult result;
 };
 
-Round tryOnce( const CommitContext& context, const ChangeSet& set, Revision base,
-               bool outcomeOpen ) {
-    Round out;
-    out.outcomeOpen = outcomeOpen;
+CommitAttempt attemptCommit( const CommitContext& context, const ChangeSet& set, Revision base,
+                             bool outcomeUnknown ) {
+    CommitAttempt out;
+    out.outcomeUnknown = outcomeUnknown;
     const auto read = readHead( context );
     if( !read.ok ) {
-        out.result.status = outcomeOpen ? CommitStatus::unknown : CommitStatus::unavailable;
+        out.result.status = outcomeUnknown ? CommitStatus::unknown : CommitStatus::unavailable;
         out.result.detail = read.detail;
         return out;
     }
-    if( const auto* mine = findWrite( read.head, set.writeId ) ) {
+    if( const auto* ownEntry = findWrite( read.head, set.writeId ) ) {
         out.done = true;
-        out.result = committed( context, read.head, mine->revision );
+        out.result = committed( context, read.head, ownEntry->revision );
         return out;
     }
     State state;
@@ -149,16 +150,16 @@
         out.result = checked;
         return out;
     }
-    const Head next = append( cutIfLong( context, read.head, state ), set );
+    const Head next = append( trimTailIfLong( context, read.head, state ), set );
     const auto outcome = writeHead( context, read, next );
     if( outcome == WriteOutcome::written ) {
         out.done = true;
         out.result = committed( context, next, next.revision );
     }
-    out.outcomeOpen = outcomeOpen || outcome == WriteOutcome::unknown;
+    out.outcomeUnknown = outcomeUnknown || outcome == WriteOutcome::unknown;
     out.result.detail = outcome == WriteOutcome::lostRace ? "lost a race" : "the write failed";
     if( !out.done ) {
-        out.result.status = out.outcomeOpen ? CommitStatus::unknown : CommitStatus::unavailable;
+        out.result.status = out.outcomeUnknown ? CommitStatus::unknown : CommitStatus::unavailable;
     }
     return out;
 }
@@ -182,15 +183,15 @@
 
 CommitResult commit( const CommitContext& context, const ChangeSet& set, Revision base,
                      MonoTime deadline ) {
-    Round round;
+    CommitAttempt lastAttempt;
     do {
-        round = tryOnce( context, set, base, round.outcomeOpen );
-        if( round.done ) {
-            return round.result;
+        lastAttempt = attemptCommit( context, set, base, lastAttempt.outcomeUnknown );
+        if( lastAttempt.done ) {
+            return lastAttempt.result;
         }
-        std::this_thread::sleep_for( retryPause );
+        std::this_thread::sleep_for( retryDelay );
     } while( context.clock.now() < deadline );
-    return round.result;
+    return lastAttempt.result;
 }
 
 SnapshotReader snapshotReader( const platform::ObjectStore& store ) {
--- a/src/config/fields.cpp
+++ b/src/config/fields.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t maxNameLength = 128;
 constexpr double maxWeight = 1e6;
 
-bool parseWhole( std::string_view text, std::uint64_t& out ) {
+bool parseNumber( std::string_view text, std::uint64_t& out ) {
     const auto* end = text.data() + text.size();
     const auto [ptr, ec] = std::from_chars( text.data(), end, out );
     return !text.empty() && ec == std::errc() && ptr == end;
@@ -43,7 +43,7 @@
 template <auto Member, std::uint64_t Low, std::uint64_t High, typename T>
 std::string setNumber( T& object, std::string_view text ) {
     std::uint64_t n = 0;
-    if( !parseWhole( text, n ) || n < Low || n > High ) {
+    if( !parseNumber( text, n ) || n < Low || n > High ) {
         return "a whole number from " + std::to_string( Low ) + " to " + std::to_string( High );
     }
     object.*Member = static_cast<std::uint32_t>( n );
@@ -114,7 +114,7 @@
         }
     }
     std::uint64_t n = 0;
-    if( !parseWhole( text, n ) || n > maxBytes / unit ) {
+    if( !parseNumber( text, n ) || n > maxBytes / unit ) {
         return false;
     }
     out = n * unit;
--- a/src/config/fields.hpp
+++ b/src/config/fields.hpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <string_view>
 
-//! One table of fields for each kind: the same row reads, checks and shows a field.
+//! A table of fields for each kind of object: each row parses, checks and formats one field.
 namespace coursehead::config::Detail {
 
 //! A field of an object of type T.
 template <typename T>
 struct Field {
     std::string_view name;
-    //! Sets the field from text; what was expected, or empty when it was taken.
+    //! Sets the field from text; returns the expected format when the text is invalid, else empty.
     std::string ( *set )( T& object, std::string_view text );
     std::string ( *show )( const T& object );
 };
--- a/src/config/follower.cpp
+++ b/src/config/follower.cpp
@@ -10,9 +10,9 @@
                     RandomSource& random, Replica& replica )
     : m_store( store ), m_replica( replica ),
       m_watcher( store, { std::string( platform::configKind ), std::string( headName ) }, settings,
-                 random, [this]( const auto& objects, std::uint64_t ) { take( objects ); } ) {}
+                 random, [this]( const auto& objects, std::uint64_t ) { onObjects( objects ); } ) {}
 
-void Follower::take( const std::map<std::string, platform::Object>& objects ) {
+void Follower::onObjects( const std::map<std::string, platform::Object>& objects ) {
     const auto found = objects.find( std::string( headName ) );
     if( found == objects.end() ) {
         return;
--- a/src/config/follower.hpp
+++ b/src/config/follower.hpp
@@ -7,7 +7,7 @@
 
 namespace coursehead::config {
 
-//! Keeps a replica up with the head object in the store.
+//! Watches the head object in the store and offers each version to a replica.
 class Follower {
 public:
     Follower( const platform::ObjectStore& store, platform::WatchSettings settings,
@@ -16,7 +16,7 @@
     void stop() { m_watcher.stop(); }
 
 private:
-    void take( const std::map<std::string, platform::Object>& objects );
+    void onObjects( const std::map<std::string, platform::Object>& objects );
 
     const platform::ObjectStore& m_store;
     Replica& m_replica;
--- a/src/config/head.cpp
+++ b/src/config/head.cpp
@@ -20,8 +20,8 @@
     if( head.revision < state.revision ) {
         return HeadVerdict::older;
     }
-    const bool reaches = !head.tail.empty() && head.tail.front().revision <= state.revision + 1;
-    if( !reaches ) {
+    const bool tailReaches = !head.tail.empty() && head.tail.front().revision <= state.revision + 1;
+    if( !tailReaches ) {
         return HeadVerdict::needSnapshot;
     }
     State next = state;
@@ -53,16 +53,16 @@
     return next;
 }
 
-bool wantsCut( const Head& head ) {
-    return head.tail.size() > tailLimit ||
-           ( head.tail.size() > 1 && toText( head ).size() > headBytes );
+bool needsTrim( const Head& head ) {
+    return head.tail.size() > maxTailEntries ||
+           ( head.tail.size() > 1 && toText( head ).size() > maxHeadBytes );
 }
 
-Head cut( const Head& head, Revision snapshotAt ) {
+Head cut( const Head& head, Revision storedRevision ) {
     Head next = head;
-    next.snapshotRevision = snapshotAt;
-    const bool large = toText( head ).size() > headBytes;
-    const std::size_t keep = large ? 1 : tailKept;
+    next.snapshotRevision = storedRevision;
+    const bool large = toText( head ).size() > maxHeadBytes;
+    const std::size_t keep = large ? 1 : keptTailEntries;
     if( next.tail.size() > keep ) {
         next.tail.erase( next.tail.begin(), next.tail.end() - static_cast<std::ptrdiff_t>( keep ) );
     }
--- a/src/config/json.hpp
+++ b/src/config/json.hpp
@@ -6,8 +6,8 @@
 
 #include <nlohmann/json.hpp>
 
-//! The JSON shapes of what the store holds. Missing fields take their defaults, so that an older
-//! process can read what a newer one wrote.
+//! The JSON format of the stored objects. A missing field of the state's types gets its default, so
+//! that an older process can read what a newer one wrote.
 namespace coursehead::config {
 
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT( Model, name, memory, kv, accelerators, replicas,
@@ -46,7 +46,7 @@
 
 namespace Detail {
 
-//! Reads JSON text into `out`; false, with `out` untouched, when it does not fit.
+//! Parses JSON text into `out`; false, with `out` unchanged, when the text is invalid.
 template <typename T>
 bool parseInto( std::string_view text, T& out ) {
     const auto parsed = nlohmann::json::parse( text, nullptr, false );
--- a/src/config/replica.cpp
+++ b/src/config/replica.cpp
@@ -4,14 +4,14 @@
 namespace coursehead::config {
 
 bool Replica::offer( const Head& head, const SnapshotReader& snapshots ) {
-    State probe = *state();
-    const auto verdict = adopt( probe, head );
+    State trialState = *state();
+    const auto verdict = adopt( trialState, head );
     if( verdict != HeadVerdict::needSnapshot ) {
-        return move( head, std::nullopt );
+        return advance( head, std::nullopt );
     }
     auto base = head.snapshotRevision == 0 ? std::optional<State>( State{} )
                                            : snapshots( head.snapshotRevision );
-    return base && move( head, base );
+    return base && advance( head, base );
 }
 
 bool Replica::offer( const peer::ConfigNews& news ) {
@@ -28,15 +28,15 @@
             return false;
         }
     }
-    return move( head, base );
+    return advance( head, base );
 }
 
-bool Replica::move( const Head& head, const std::optional<State>& base ) {
-    std::shared_ptr<const State> moved;
+bool Replica::advance( const Head& head, const std::optional<State>& base ) {
+    std::shared_ptr<const State> newState;
     {
         const std::lock_guard lock( m_mutex );
         State next = base && base->revision > m_state->revision ? *base : *m_state;
-        const bool ahead = head.revision > m_state->revision;
+        const bool newer = head.revision > m_state->revision;
         const auto verdict = adopt( next, head );
         const bool complete = verdict == HeadVerdict::adopted || verdict == HeadVerdict::same;
         if( head.revision < m_state->revision ) {
@@ -45,16 +45,16 @@
         if( verdict == HeadVerdict::invalid ) {
             ++m_stats.invalid;
         }
-        if( !ahead || !complete ) {
+        if( !newer || !complete ) {
             return false;
         }
         m_head = head;
         m_state = std::make_shared<const State>( std::move( next ) );
         ++m_stats.adopted;
-        moved = m_state;
+        newState = m_state;
     }
     if( m_listener ) {
-        m_listener( *moved );
+        m_listener( *newState );
     }
     return true;
 }
@@ -76,16 +76,16 @@
     }
     peer::ConfigNews out;
     out.revision = m_state->revision;
-    const bool reaches = !m_head.tail.empty() && m_head.tail.front().revision <= revision + 1;
-    Head brief = m_head;
-    if( reaches ) {
-        std::erase_if( brief.tail,
+    const bool tailReaches = !m_head.tail.empty() && m_head.tail.front().revision <= revision + 1;
+    Head shortenedHead = m_head;
+    if( tailReaches ) {
+        std::erase_if( shortenedHead.tail,
                        [revision]( const auto& it ) { return it.revision <= revision; } );
     } else {
-        brief.tail.clear();
+        shortenedHead.tail.clear();
         out.snapshot = toText( *m_state );
     }
-    out.head = toText( brief );
+    out.head = toText( shortenedHead );
     return out;
 }
 
--- a/src/ctl/ctl.cpp
+++ b/src/ctl/ctl.cpp
@@ -40,7 +40,7 @@
 };
 
 struct StatusRow {
-    std::string_view word;
+    std::string_view statusName;
     ExitCode code;
 };
 constexpr std::array<StatusRow, 7> statusRows{ {
@@ -53,9 +53,9 @@
     { "wait-timed-out", exitWaitTimedOut },
 } };
 
-ExitCode codeOf( std::string_view status ) {
+ExitCode exitCodeOf( std::string_view status ) {
     for( const auto& it : statusRows ) {
-        if( it.word == status ) {
+        if( it.statusName == status ) {
             return it.code;
         }
     }
@@ -63,11 +63,11 @@
 }
 
 std::string environment( const char* name, std::string_view fallback ) {
-    const char* set = std::getenv( name );
-    return set != nullptr ? set : std::string( fallback );
+    const char* found = std::getenv( name );
+    return found != nullptr ? found : std::string( fallback );
 }
 
-bool readAll( const std::string& path, std::string& out ) {
+bool readText( const std::string& path, std::string& out ) {
     if( path == "-" ) {
         out.assign( std::istreambuf_iterator<char>( std::cin ), {} );
         return true;
@@ -113,17 +113,17 @@
     }
 }
 
-int print( const Options& options, const http::Outcome& outcome ) {
+int printResponse( const Options& options, const http::Outcome& outcome ) {
     const auto body = Json::parse( outcome.response.body, nullptr, false );
     if( !body.is_object() ) {
-        std::cerr << "coursehead ctl: the entry's answer is not understood (HTTP status "
+        std::cerr << "coursehead ctl: the entry's response is not a JSON object (HTTP status "
                   << outcome.response.status << ")\n";
         return exitUnavailable;
     }
     const auto status = body.value( "status", "" );
     if( options.json ) {
         std::cout << body.dump( 2 ) << "\n";
-        return codeOf( status );
+        return exitCodeOf( status );
     }
     for( const auto& it : body.value( "tables", Json::array() ) ) {
         printTable( it );
@@ -132,12 +132,13 @@
     if( !message.empty() ) {
         ( status == "ok" ? std::cout : std::cerr ) << message << "\n";
     }
-    return codeOf( status );
+    return exitCodeOf( status );
 }
 
 int send( const Options& options ) {
-    constexpr Millis patience{ 15000 };
-    http::Client client( options.entry, { Millis{ 2000 }, patience + Millis( options.waitMs ) } );
+    constexpr Millis responseTimeout{ 15000 };
+    http::Client client( options.entry,
+                         { Millis{ 2000 }, responseTimeout + Millis( options.waitMs ) } );
     http::Request request;
     request.method = "POST";
     request.path = "/operator/v1/command";
@@ -154,7 +155,7 @@
         std::cerr << "coursehead ctl: entry " << options.entry << ": " << outcome.detail << "\n";
         return outcome.failure == http::Failure::notSent ? exitUnavailable : exitUnknown;
     }
-    return print( options, outcome );
+    return printResponse( options, outcome );
 }
 
 int parseAndSend( std::span<const std::string> arguments ) {
@@ -188,7 +189,7 @@
     for( const auto& it : words.getValue() ) {
         options.text += ( options.text.empty() ? "" : " " ) + it;
     }
-    if( !file.getValue().empty() && !readAll( file.getValue(), options.text ) ) {
+    if( !file.getValue().empty() && !readText( file.getValue(), options.text ) ) {
         std::cerr << "coursehead ctl: --file = '" << file.getValue() << "': can't be read\n";
         return exitUsage;
     }
--- a/src/ctl/ctl.hpp
+++ b/src/ctl/ctl.hpp
@@ -7,7 +7,7 @@
 
 namespace coursehead::ctl {
 
-//! The role `coursehead ctl`: sends an operator's text to an entry and prints what it says.
+//! The role `coursehead ctl`: sends an operator's text to an entry and prints the response.
 int runCtl( std::span<const std::string> arguments );
 
 } // namespace coursehead::ctl
--- a/src/operator/api.cpp
+++ b/src/operator/api.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-std::string_view statusWord( CommandStatus status ) {
+std::string_view statusName( CommandStatus status ) {
     switch( status ) {
     case CommandStatus::ok:
         return "ok";
@@ -67,7 +67,7 @@
         tables.push_back(
             { { "title", it.title }, { "columns", it.columns }, { "rows", it.rows } } );
     }
-    Json out{ { "status", statusWord( result.status ) },
+    Json out{ { "status", statusName( result.status ) },
               { "revision", result.revision },
               { "message", result.message },
               { "tables", tables } };
@@ -80,10 +80,10 @@
     return out.dump( -1, ' ', false, Json::error_handler_t::replace );
 }
 
-OperatorApi::OperatorApi( OperatorApiSettings settings, World world, SpreadWaiter waiter,
+OperatorApi::OperatorApi( OperatorApiSettings settings, World world, RolloutWaiter rolloutWaiter,
                           const Clock& clock )
     : m_settings( std::move( settings ) ), m_world( std::move( world ) ),
-      m_waiter( std::move( waiter ) ), m_clock( clock ) {}
+      m_rolloutWaiter( std::move( rolloutWaiter ) ), m_clock( clock ) {}
 
 http::Response OperatorApi::handle( const http::Request& request ) {
     constexpr int badRequest = 400;
@@ -110,12 +110,12 @@
                        Json{ { "status", "rejected" }, { "message", ex.what() } }.dump() );
     }
     auto result = runText( body["text"].get<std::string>(), m_world, options );
-    log::info( "operator_command", { { "status", statusWord( result.status ) },
+    log::info( "operator_command", { { "status", statusName( result.status ) },
                                      { "author", options.author },
                                      { "revision", static_cast<std::int64_t>( result.revision ) },
                                      { "message", result.message } } );
     if( result.status == CommandStatus::ok && waitMs > 0 && !options.dryRun &&
-        !m_waiter( result.revision, m_clock.now() + Millis( waitMs ) ) ) {
+        !m_rolloutWaiter( result.revision, m_clock.now() + Millis( waitMs ) ) ) {
         result.status = CommandStatus::waitTimedOut;
         result.message += "; not yet in force everywhere";
     }
--- a/src/operator/api.hpp
+++ b/src/operator/api.hpp
@@ -5,19 +5,19 @@
 #include "coursehead/http/message.hpp"
 #include "operator/evaluate.hpp"
 
-//! The operators' HTTP interface of an entry: POST /operator/v1/command.
+//! The HTTP interface of an entry for operators: POST /operator/v1/command.
 namespace coursehead::op {
 
 struct OperatorApiSettings {
-    std::string token; //!< empty: no token is asked for
+    std::string token; //!< empty: requests need no token
 };
 
-//! Waits until every live process is at the revision; false when the time ran out.
-using SpreadWaiter = std::function<bool( config::Revision revision, MonoTime deadline )>;
+//! Waits until every live process has the revision; false when the deadline passes first.
+using RolloutWaiter = std::function<bool( config::Revision revision, MonoTime deadline )>;
 
 class OperatorApi {
 public:
-    OperatorApi( OperatorApiSettings settings, World world, SpreadWaiter waiter,
+    OperatorApi( OperatorApiSettings settings, World world, RolloutWaiter rolloutWaiter,
                  const Clock& clock );
 
     //! Runs the command in a body of {"text", "dry_run", "wait_ms", "author"}.
@@ -26,13 +26,13 @@
 private:
     OperatorApiSettings m_settings;
     World m_world;
-    SpreadWaiter m_waiter;
+    RolloutWaiter m_rolloutWaiter;
     const Clock& m_clock;
 };
 
-//! The result as JSON.
+//! Formats the result as JSON.
 std::string toJson( const CommandResult& result );
-std::string_view statusWord( CommandStatus status );
+std::string_view statusName( CommandStatus status );
 
 } // namespace coursehead::op
 
--- a/src/operator/evaluate.cpp
+++ b/src/operator/evaluate.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-//! Counts of a model's or adapter's copies.
+//! The number of copies of a model or an adapter.
 struct Copies {
     std::size_t ready = 0;
-    std::size_t coming = 0;
+    std::size_t loading = 0;
 };
 
 Copies countCopies( const std::vector<entry::AgentView>& agents, std::string_view kind,
@@ -24,18 +24,18 @@
     for( const auto& agent : agents ) {
         for( const auto& it : agent.status.items ) {
             if( agent.up && agent.reported && it.kind == kind && it.name == name ) {
-                ++( it.ready ? out.ready : out.coming );
+                ++( it.ready ? out.ready : out.loading );
             }
         }
     }
     return out;
 }
 
-std::string stateWord( const Copies& copies ) {
+std::string loadState( const Copies& copies ) {
     if( copies.ready > 0 ) {
         return "loaded";
     }
-    return copies.coming > 0 ? "loading" : "absent";
+    return copies.loading > 0 ? "loading" : "absent";
 }
 
 Table showObjects( const State& state, Kind kind, const std::vector<entry::AgentView>& agents ) {
@@ -60,7 +60,7 @@
         }
         if( loadable ) {
             const auto copies = countCopies( agents, config::kindName( kind ), objectName );
-            row.push_back( stateWord( copies ) );
+            row.push_back( loadState( copies ) );
             row.push_back( std::to_string( copies.ready ) );
         }
         out.rows.push_back( std::move( row ) );
@@ -68,7 +68,7 @@
     return out;
 }
 
-std::string flagWord( bool flag ) {
+std::string boolText( bool flag ) {
     return flag ? "true" : "false";
 }
 
@@ -82,8 +82,8 @@
         out.rows.push_back(
             { it.vm.name, it.vm.hall, it.vm.region,
               it.vm.role == platform::VmRole::service ? "service" : "runner", it.status.upstream,
-              flagWord( it.up && it.reported ), leaving ? "leaving" : "live",
-              flagWord( it.status.mayOrder ), std::to_string( it.status.running ),
+              boolText( it.up && it.reported ), leaving ? "leaving" : "live",
+              boolText( it.status.mayOrder ), std::to_string( it.status.running ),
               std::to_string( it.status.queued ), std::to_string( it.status.items.size() ),
               std::to_string( it.status.revision ) } );
     }
@@ -94,25 +94,27 @@
     return { "revision", { "revision" }, { { std::to_string( state.revision ) } } };
 }
 
-//! Keeps the rows that meet every condition; false, naming the field, when there is no such column.
-bool filter( Table& table, const std::vector<Condition>& where, std::string& problem ) {
+//! Keeps the rows that meet every condition; false, with an error text, when a condition's field is
+//! not a column.
+bool filter( Table& table, const std::vector<Condition>& where, std::string& errorText ) {
     for( const auto& condition : where ) {
         const auto column =
             std::find( table.columns.begin(), table.columns.end(), condition.field );
         if( column == table.columns.end() && !table.columns.empty() ) {
-            problem = "field '" + condition.field + "': '" + table.title + "' has no such field";
+            errorText = "field '" + condition.field + "': '" + table.title + "' has no such field";
             return false;
         }
-        const auto n = static_cast<std::size_t>( column - table.columns.begin() );
-        const bool wanted = condition.comparison == "=";
-        std::erase_if( table.rows,
-                       [&]( const auto& row ) { return ( row[n] == condition.value ) != wanted; } );
+        const auto columnIndex = static_cast<std::size_t>( column - table.columns.begin() );
+        const bool keepEqual = condition.comparison == "=";
+        std::erase_if( table.rows, [&]( const auto& row ) {
+            return ( row[columnIndex] == condition.value ) != keepEqual;
+        } );
     }
     return true;
 }
 
-std::string whyHere( const entry::AgentView& agent, const State& state,
-                     const config::Model& model ) {
+std::string placementReason( const entry::AgentView& agent, const State& state,
+                             const config::Model& model ) {
     const auto& status = agent.status;
     for( const auto& it : status.items ) {
         if( it.kind == "model" && it.name == model.name ) {
@@ -147,19 +149,19 @@
 public:
     Evaluator( const World& world, const CommandOptions& options )
         : m_world( world ), m_options( options ) {
-        m_base = world.state()->revision;
-        m_result.revision = m_base;
+        m_baseRevision = world.state()->revision;
+        m_result.revision = m_baseRevision;
     }
 
-    CommandResult run( const std::vector<Located>& statements ) {
+    CommandResult run( const std::vector<LocatedStatement>& statements ) {
         for( const auto& it : statements ) {
-            m_at = &it;
-            std::visit( [this]( const auto& statement ) { take( statement ); }, it.statement );
+            m_currentStatement = &it;
+            std::visit( [this]( const auto& statement ) { evaluate( statement ); }, it.statement );
             if( m_result.status != CommandStatus::ok ) {
                 return std::move( m_result );
             }
         }
-        if( m_open ) {
+        if( m_inTransaction ) {
             fail( CommandStatus::rejected, "'begin' without 'commit': nothing was changed" );
         }
         return std::move( m_result );
@@ -168,10 +170,11 @@
 private:
     void fail( CommandStatus status, std::string message ) {
         m_result.status = status;
-        m_result.message = "line " + std::to_string( m_at->line ) + ": " + std::move( message );
+        m_result.message =
+            "line " + std::to_string( m_currentStatement->line ) + ": " + std::move( message );
     }
 
-    void take( const Show& statement ) {
+    void evaluate( const Show& statement ) {
         const auto state = m_world.state();
         Table table;
         Kind kind = Kind::model;
@@ -185,15 +188,15 @@
             fail( CommandStatus::rejected, "kind '" + statement.kind + "': there is no such kind" );
             return;
         }
-        std::string problem;
-        if( !filter( table, statement.where, problem ) ) {
-            fail( CommandStatus::rejected, problem );
+        std::string errorText;
+        if( !filter( table, statement.where, errorText ) ) {
+            fail( CommandStatus::rejected, errorText );
             return;
         }
         m_result.tables.push_back( std::move( table ) );
     }
 
-    void take( const Why& statement ) {
+    void evaluate( const Why& statement ) {
         const auto state = m_world.state();
         const auto* model = config::findByName( state->models, statement.name );
         if( statement.kind != "model" || model == nullptr ) {
@@ -206,7 +209,8 @@
         table.columns = { "vm", "hall", "reason" };
         for( const auto& it : m_world.agents() ) {
             if( it.vm.role == platform::VmRole::runner ) {
-                table.rows.push_back( { it.vm.name, it.vm.hall, whyHere( it, *state, *model ) } );
+                table.rows.push_back(
+                    { it.vm.name, it.vm.hall, placementReason( it, *state, *model ) } );
             }
         }
         for( auto& it : m_world.planReasons( statement.name ) ) {
@@ -215,7 +219,7 @@
         m_result.tables.push_back( std::move( table ) );
     }
 
-    void take( const Edit& statement ) {
+    void evaluate( const Edit& statement ) {
         config::Change change;
         change.name = statement.name;
         change.fields = statement.fields;
@@ -232,37 +236,38 @@
             fail( CommandStatus::rejected, "expected a name behind '" + statement.kind + "'" );
             return;
         }
-        m_pending.push_back( std::move( change ) );
-        if( !m_open ) {
+        m_pendingChanges.push_back( std::move( change ) );
+        if( !m_inTransaction ) {
             commitPending();
         }
     }
 
-    void take( const Begin& ) {
-        if( m_open ) {
+    void evaluate( const Begin& ) {
+        if( m_inTransaction ) {
             fail( CommandStatus::rejected, "'begin' inside 'begin'" );
         }
-        m_open = true;
+        m_inTransaction = true;
     }
 
-    void take( const Commit& ) {
-        if( !m_open ) {
+    void evaluate( const Commit& ) {
+        if( !m_inTransaction ) {
             fail( CommandStatus::rejected, "'commit' without 'begin'" );
             return;
         }
-        m_open = false;
+        m_inTransaction = false;
         commitPending();
     }
 
     void commitPending() {
-        const ChangeSet set{ m_world.makeWriteId(), m_options.author, std::move( m_pending ) };
-        m_pending.clear();
+        const ChangeSet set{ m_world.makeWriteId(), m_options.author,
+                             std::move( m_pendingChanges ) };
+        m_pendingChanges.clear();
         const auto done = m_options.dryRun ? config::dryRun( *m_world.state(), set )
-                                           : m_world.commit( set, m_base );
+                                           : m_world.commit( set, m_baseRevision );
         switch( done.status ) {
         case CommitStatus::committed:
             m_result.revision = done.revision;
-            m_base = std::max( m_base, done.revision );
+            m_baseRevision = std::max( m_baseRevision, done.revision );
             m_result.message = m_options.dryRun
                                    ? "valid; would be revision " + std::to_string( done.revision )
                                    : "committed as revision " + std::to_string( done.revision );
@@ -283,10 +288,10 @@
     const World& m_world;
     const CommandOptions& m_options;
     CommandResult m_result;
-    config::Revision m_base = 0;
-    std::vector<config::Change> m_pending;
-    bool m_open = false;
-    const Located* m_at = nullptr;
+    config::Revision m_baseRevision = 0;
+    std::vector<config::Change> m_pendingChanges;
+    bool m_inTransaction = false;
+    const LocatedStatement* m_currentStatement = nullptr;
 };
 
 } // namespace
--- a/src/operator/evaluate.hpp
+++ b/src/operator/evaluate.hpp
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-//! Runs the operators' statements against what an entry knows.
+//! Runs the operators' statements against an entry's configuration and its view of the agents.
 namespace coursehead::op {
 
-//! A result for people and programs.
+//! The result of one query.
 struct Table {
     std::string title;
     std::vector<std::string> columns;
@@ -32,13 +32,13 @@
 
 struct CommandResult {
     CommandStatus status = CommandStatus::ok;
-    config::Revision revision = 0; //!< in force here, or made by the last commit
+    config::Revision revision = 0; //!< this process's revision, or that of the last commit
     std::vector<Table> tables;
     std::string message;
     SyntaxError syntax;
 };
 
-//! What statements are run against.
+//! The state and the functions that statements use.
 struct World {
     std::function<std::shared_ptr<const config::State>()> state;
     std::function<std::vector<entry::AgentView>()> agents;
@@ -53,8 +53,8 @@
     std::string author;
 };
 
-//! Runs a text; stops at the first statement that fails. Nothing between `begin` and `commit` is
-//! in force unless all of it is.
+//! Runs a text; stops at the first statement that fails. The changes between `begin` and `commit`
+//! are applied atomically.
 CommandResult runText( std::string_view text, const World& world, const CommandOptions& options );
 
 } // namespace coursehead::op
--- a/src/operator/language.cpp
+++ b/src/operator/language.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-constexpr std::size_t maxText = 1U << 20U;
-constexpr std::size_t foundShown = 20;
+constexpr std::size_t maxTextBytes = 1U << 20U;
+constexpr std::size_t maxFoundLength = 20;
 
-// --- the grammar
+// --- grammar
 
 const auto wordChar = x3::char_( "a-zA-Z0-9_./:+~-" );
 
@@ -58,7 +58,7 @@
     x3::lexeme[( x3::string( "create" ) | x3::string( "set" ) | x3::string( "delete" ) ) >>
                !wordChar];
 const x3::rule<class EditRule, Edit> edit = "a change";
-// "set weights moves=2" has no name: what follows the kind is a field then.
+// "set weights moves=2" has no name: a word followed by '=' is a field.
 const auto optionalName =
     ( &( x3::omit[name] >> !x3::lit( '=' ) ) >> name ) | x3::attr( std::string() );
 const auto edit_def = verb > kindWord > optionalName > *assignment;
@@ -71,7 +71,7 @@
                            ( keyword( "commit" ) >> x3::attr( Commit{} ) );
 BOOST_SPIRIT_DEFINE( statement )
 
-// --- driving it statement by statement
+// --- parser, statement by statement
 
 using Iterator = std::string_view::const_iterator;
 
@@ -96,7 +96,7 @@
 SyntaxError errorAt( std::string_view text, Iterator at, std::string expected ) {
     const auto where = positionOf( text, at );
     const auto end = std::find( at, text.end(), '\n' );
-    const auto n = std::min<std::size_t>( foundShown, static_cast<std::size_t>( end - at ) );
+    const auto n = std::min<std::size_t>( maxFoundLength, static_cast<std::size_t>( end - at ) );
     return { where.line, where.column, std::move( expected ),
              n == 0 ? "the end of the line" : std::string( at, at + static_cast<long>( n ) ) };
 }
@@ -117,7 +117,7 @@
     ParsedText out;
     auto it = text.begin();
     const auto end = text.end();
-    if( text.size() > maxText ) {
+    if( text.size() > maxTextBytes ) {
         out.error = errorAt( text, it, "at most 1 MiB of text" );
         return out;
     }
@@ -125,7 +125,7 @@
         for( skipSeparators( it, end ); it != end; skipSeparators( it, end ) ) {
             const auto start = it;
             const auto where = positionOf( text, start );
-            Located located{ {}, where.line, where.column };
+            LocatedStatement located{ {}, where.line, where.column };
             if( !x3::phrase_parse( it, end, statement, spaces, located.statement ) ) {
                 out.error =
                     errorAt( text, start, "show, why, create, set, delete, begin or commit" );
--- a/tests/unit/config.tests.cpp
+++ b/tests/unit/config.tests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-Change make( Action action, Kind kind, std::string name, std::vector<FieldValue> fields ) {
+Change makeChange( Action action, Kind kind, std::string name, std::vector<FieldValue> fields ) {
     return { action, kind, std::move( name ), std::move( fields ) };
 }
 
@@ -23,17 +23,18 @@
 
 TEST_CASE( "A change set is applied whole or not at all", "[config]" ) {
     const auto state = withUpstream();
-    const ChangeSet good{
-        "w1", "", { make( Action::create, Kind::model, "m", { { "memory", "8GiB" } } ) } };
-    auto done = dryRun( state, good );
-    CHECK( done.status == CommitStatus::committed );
-    CHECK( done.revision == 1 );
+    const ChangeSet valid{
+        "w1", "", { makeChange( Action::create, Kind::model, "m", { { "memory", "8GiB" } } ) } };
+    auto result = dryRun( state, valid );
+    CHECK( result.status == CommitStatus::committed );
+    CHECK( result.revision == 1 );
 
-    auto bad = good;
-    bad.changes.push_back( make( Action::set, Kind::model, "absent", { { "replicas", "2" } } ) );
-    done = dryRun( state, bad );
-    CHECK( done.status == CommitStatus::rejected );
-    CHECK( done.error.name == "absent" );
+    auto invalid = valid;
+    invalid.changes.push_back(
+        makeChange( Action::set, Kind::model, "absent", { { "replicas", "2" } } ) );
+    result = dryRun( state, invalid );
+    CHECK( result.status == CommitStatus::rejected );
+    CHECK( result.error.name == "absent" );
 }
 
 TEST_CASE( "Bad values are refused by field and value", "[config][hostile]" ) {
@@ -51,11 +52,11 @@
         { { { "memory", "1GiB" }, { "class", "none" } }, "class", "none" },
         { {}, "memory", "0" },
     } ) );
-    const ChangeSet set{ "w", "", { make( Action::create, Kind::model, "m", row.fields ) } };
-    const auto done = dryRun( withUpstream(), set );
-    CHECK( done.status == CommitStatus::rejected );
-    CHECK( done.error.field == row.field );
-    CHECK( done.error.value == row.value );
+    const ChangeSet set{ "w", "", { makeChange( Action::create, Kind::model, "m", row.fields ) } };
+    const auto result = dryRun( withUpstream(), set );
+    CHECK( result.status == CommitStatus::rejected );
+    CHECK( result.error.field == row.field );
+    CHECK( result.error.value == row.value );
 }
 
 TEST_CASE( "Sizes are read and written with units", "[config]" ) {
