--- a/include/coursehead/http/client.hpp
+++ b/include/coursehead/http/client.hpp
@@ -9,28 +9,28 @@
 
 namespace coursehead::http {
 
-//! How far a call got before it failed; decides whether the far side may have acted.
+//! How far a call got before it failed, which decides whether the server may have acted on it.
 enum class Failure {
     none,
-    notSent, //!< no connection could be made: the far side has seen nothing
-    broken,  //!< cut or timed out after the request may have been sent
+    notSent, //!< connecting failed: the server has received nothing
+    broken,  //!< lost or timed out after the request may have been sent
 };
 
 struct Timeouts {
     Millis connect{ 1000 };
-    Millis read{ 5000 }; //!< the longest silence while waiting for bytes
+    Millis read{ 5000 }; //!< longest time without received bytes
 };
 
 struct Outcome {
     Failure failure = Failure::none;
-    std::string detail; //!< the library's word for the failure
+    std::string detail; //!< the library's text for the failure
     Response response;  //!< valid when failure is none
 };
 
-//! Receives part of a streamed answer; false cancels the call.
+//! Receives a part of a streamed response's body; returning false cancels the call.
 using Receiver = std::function<bool( int status, std::string_view bytes )>;
 
-//! A client of one address. One call at a time; keeps its connection open between calls.
+//! A client of one address. Makes one call at a time, and keeps its connection open between calls.
 class Client {
 public:
     //! `address` is IP:PORT or http://IP:PORT.
@@ -39,9 +39,9 @@
     Client( Client&& ) noexcept;
     Client& operator=( Client&& ) noexcept;
 
-    //! Sends one request and reads the whole answer.
+    //! Sends a request and reads the complete response.
     Outcome call( const Request& request );
-    //! Sends one request and hands the answer's body over as it comes.
+    //! Sends a request and passes the response's body to `receiver` as it arrives.
     Outcome stream( const Request& request, const Receiver& receiver );
     //! Aborts the call in progress; may be called from another thread.
     void abort();
--- a/include/coursehead/http/message.hpp
+++ b/include/coursehead/http/message.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-//! HTTP messages as the rest of the system sees them; the library behind stays in two source files.
+//! HTTP messages, independent of the HTTP library, which only two source files include.
 namespace coursehead::http {
 
-//! Orders header names without regard to case.
+//! Compares header names case-insensitively.
 struct HeaderLess {
     using is_transparent = void; // NOLINT(readability-identifier-naming): named by the standard
     bool operator()( std::string_view a, std::string_view b ) const noexcept;
@@ -30,9 +30,9 @@
     std::string_view parameter( std::string_view name, std::string_view fallback = {} ) const;
 };
 
-//! Writes part of a streamed body; false when the receiver has gone.
+//! Writes a part of a streamed body; false when the receiver has disconnected.
 using Sink = std::function<bool( std::string_view bytes )>;
-//! Produces a streamed body by calling the sink until done; false cuts the connection.
+//! Produces a streamed body by calls of the sink; returning false closes the connection.
 using Producer = std::function<bool( const Sink& sink )>;
 
 struct Response {
--- a/include/coursehead/http/server.hpp
+++ b/include/coursehead/http/server.hpp
@@ -10,29 +10,30 @@
 namespace coursehead::http {
 
 struct ServerLimits {
-    std::size_t threads = 64;          //!< most connections served at once
-    std::size_t bodyBytes = 1U << 20U; //!< a larger body is answered 413
-    int idleSeconds = 2;               //!< an idle kept-alive connection is closed after this
-    int readSeconds = 10;              //!< a sender that stalls this long is dropped
-    int writeSeconds = 10;             //!< a reader that stalls this long is dropped
+    std::size_t threads = 64;          //!< most connections that are served at once
+    std::size_t bodyBytes = 1U << 20U; //!< a larger body is answered with 413
+    int idleSeconds = 2;               //!< an idle keep-alive connection is closed after this
+    int readSeconds = 10;              //!< a client that sends nothing this long is disconnected
+    int writeSeconds = 10;             //!< a client that reads nothing this long is disconnected
 };
 
-//! Answers one request; called on the connection's own thread.
+//! Answers a request; called on the connection's own thread.
 using Handler = std::function<Response( const Request& request )>;
-//! Makes the body of an answer that the server itself gives (413, 400, 404 and the like).
-using ErrorBody = std::function<Response( int status )>;
+//! Makes the response for an error that the server itself detects (such as 413, 400 or 404).
+using ErrorResponder = std::function<Response( int status )>;
 
-//! An HTTP/1.1 server: a thread per open connection, up to a limit.
+//! An HTTP/1.1 server with a thread for each open connection, up to a limit.
 class Server {
 public:
-    Server( ServerLimits limits, Handler handler, ErrorBody errorBody );
+    Server( ServerLimits limits, Handler handler, ErrorResponder errorResponder );
     ~Server();
     Server( const Server& ) = delete;
     Server& operator=( const Server& ) = delete;
 
-    //! Binds (port 0 picks a free one) and serves in the background; the port, or -1 on failure.
+    //! Binds (port 0 picks a free one) and serves in the background. Returns the port, or -1 on
+    //! failure.
     int start( const std::string& host, int port );
-    //! Closes the listener, waits for the requests in progress and joins the threads.
+    //! Closes the listening socket, waits for requests in progress and joins the threads.
     void stop();
 
 private:
--- a/include/coursehead/peer/frame.hpp
+++ b/include/coursehead/peer/frame.hpp
@@ -8,29 +8,30 @@
 #include <string_view>
 #include <vector>
 
-//! Framing of messages inside a stream: a four-byte big-endian length, then that many bytes.
+//! Framing of messages in a stream: a four-byte big-endian length, then that many bytes.
 namespace coursehead::peer {
 
-//! The largest frame either side accepts.
+//! Largest frame that either side accepts.
 inline constexpr std::size_t maxFrameBytes = 4U << 20U;
 inline constexpr std::size_t frameHeaderBytes = 4;
 
 //! Appends a framed message to `out`.
 void appendFrame( std::string& out, std::string_view message );
 
-//! Cuts a byte stream into frames.
+//! Splits a byte stream into frames.
 class FrameReader {
 public:
-    //! Takes bytes and appends each completed frame to `frames`; false once a frame is too large.
+    //! Reads bytes and appends each completed frame to `frames`. Returns false from the first frame
+    //! that is too large.
     bool feed( std::string_view bytes, std::vector<std::string>& frames );
-    //! True when no frame is partly read.
+    //! True when no frame is partially read.
     bool atBoundary() const noexcept { return m_partial.empty(); }
-    //! Bytes of a frame that is not complete yet.
+    //! Bytes received of the incomplete frame, with its header.
     std::size_t partialBytes() const noexcept { return m_partial.size(); }
 
 private:
     std::string m_partial;
-    bool m_bad = false;
+    bool m_failed = false;
 };
 
 } // namespace coursehead::peer
--- a/include/coursehead/peer/loop.hpp
+++ b/include/coursehead/peer/loop.hpp
@@ -12,17 +12,17 @@
 namespace coursehead::peer {
 
 struct LoopSettings {
-    std::string token;                 //!< shared secret; a peer without it is refused
-    Millis silence{ 3000 };            //!< a connection with no bytes this long is given up
-    Millis idlePing{ 10000 };          //!< ping interval on connections without request streams
-    Millis reconnect{ 200 };           //!< first reconnect delay; doubles up to 16 times, jittered
-    std::size_t maxConnections = 1024; //!< accepted connections
-    std::size_t maxStreams = 1024;     //!< streams at once on one accepted connection
-    std::size_t maxHandlers = 512;     //!< streams handled at once; more are refused
+    std::string token;      //!< shared secret; a peer without it is refused
+    Millis silence{ 3000 }; //!< a connection that receives nothing for this long is closed
+    Millis idlePingInterval{ 10000 };  //!< ping interval on connections without request streams
+    Millis reconnectDelay{ 200 };      //!< first reconnect delay; doubles up to 16-fold, jittered
+    std::size_t maxConnections = 1024; //!< most accepted connections at once
+    std::size_t maxStreams = 1024;     //!< most streams at once on an accepted connection
+    std::size_t maxHandlers = 512;     //!< most streams handled at once; further ones are refused
     std::uint64_t seed = 1;            //!< for reconnect jitter
 };
 
-//! Handles a stream that a peer opened; runs on a thread of its own, may keep the stream.
+//! Handles a stream that a peer opened. Runs on its own thread, and may keep the stream.
 using StreamHandler =
     std::function<void( const std::string& path, std::shared_ptr<Stream> stream )>;
 
@@ -36,7 +36,7 @@
     std::uint64_t refusedStreams = 0;
 };
 
-//! Names an outgoing connection of a Loop; it is kept up until closed.
+//! Identifies an outgoing connection of a Loop, which reconnects it until disconnect().
 using LinkId = std::uint64_t;
 
 /**
@@ -50,20 +50,22 @@
     Loop( const Loop& ) = delete;
     Loop& operator=( const Loop& ) = delete;
 
-    //! Accepts peers on an address (port 0 picks one); the port, or -1. Call before start().
+    //! Listens on an address (port 0 picks a free one). Returns the port, or -1 on failure. Call
+    //! before start().
     int bind( const std::string& host, int port );
     void start();
     void stop();
 
-    //! Begins to keep a connection to a peer.
+    //! Connects to a peer, and reconnects whenever the connection is lost.
     LinkId connect( const std::string& host, int port );
-    //! Drops the connection; its streams end as broken.
+    //! Closes the connection; its streams end as broken.
     void disconnect( LinkId link );
     //! True while the connection is established.
     bool isUp( LinkId link ) const;
-    //! Calls back on the loop's thread each time a link comes up or goes down. Set before start().
+    //! Sets the listener that the loop's thread calls whenever a link comes up or goes down. Call
+    //! before start().
     void onLinkChange( std::function<void( LinkId link, bool up )> listener );
-    //! Opens a stream; nullptr when the link is down (nothing was sent).
+    //! Opens a stream; nullptr when the link is down, and then nothing was sent.
     std::shared_ptr<Stream> open( LinkId link, std::string_view path );
 
     LoopStats stats() const;
--- a/include/coursehead/peer/messages.hpp
+++ b/include/coursehead/peer/messages.hpp
@@ -8,7 +8,7 @@
 #include <variant>
 #include <vector>
 
-//! The messages between entries and agents. Each stream path carries the messages named beside it.
+//! Messages between entries and agents. Each stream path carries the messages named beside it.
 namespace coursehead::peer {
 
 inline constexpr const char* runPath = "/run";     //!< RunRequest → RunAccepted, RunChunk…
@@ -20,7 +20,7 @@
 
 enum class TargetKind { model, service };
 
-//! What a request asks for.
+//! The model or service that a request is for.
 struct Target {
     TargetKind kind = TargetKind::model;
     std::string name;
@@ -31,24 +31,24 @@
 struct RunRequest {
     std::string requestId;
     std::uint32_t attempt = 0;
-    std::string incarnation; //!< the agent process that the entry means
+    std::string incarnation; //!< the agent process to which the entry addresses the request
     std::string caller;
     std::string requestClass;
     int priority = 0;
     Target target;
     std::int64_t deadlineMs = 0; //!< time left, in milliseconds
-    std::int64_t patienceMs = 0; //!< the longest useful wait for a place, in milliseconds
+    std::int64_t patienceMs = 0; //!< longest useful wait for a free slot, in milliseconds
     std::string method;          //!< services: the HTTP method
-    std::string path; //!< services: the path behind the service's name; models: the API path
+    std::string path; //!< services: the path after the service's name; models: the API path
     std::string contentType;
     std::string body;
-    std::string key;    //!< idempotency key, empty when repeatable
-    std::string prefix; //!< text that the caller already has; the engine continues behind it
+    std::string key;    //!< idempotency key; empty when the request may be repeated
+    std::string prefix; //!< text that the caller already has; the engine continues after it
     bool mayLoad = false;
     std::uint64_t revision = 0;
 };
 
-//! Receipt: the agent holds the request. From here on it may have run.
+//! The agent has accepted the request. From then on the request may have run.
 struct RunAccepted {
     std::string requestId;
     std::uint32_t attempt = 0;
@@ -61,17 +61,17 @@
     std::int64_t retryAfterMs = 0;
 };
 
-//! Part of the answer's text. Offsets count bytes from the answer's very start.
+//! Part of the answer's text. Offsets count bytes from the start of the whole answer.
 struct RunChunk {
     std::string requestId;
     std::uint64_t offset = 0;
     std::string text;
 };
 
-//! The answer is whole.
+//! The answer is complete.
 struct RunDone {
     std::string requestId;
-    std::uint64_t length = 0; //!< bytes of text in all
+    std::uint64_t length = 0; //!< total bytes of text
     std::string finishReason;
     std::uint32_t promptTokens = 0;
     std::uint32_t completionTokens = 0;
@@ -80,31 +80,31 @@
     std::string body; //!< services: the HTTP body
 };
 
-//! The attempt ended without a whole answer.
+//! The attempt ended without a complete answer.
 struct RunFailed {
     std::string requestId;
     std::string reason;
     bool mayHaveRun = true;
 };
 
-//! Reads a session's text again from an offset and follows it to its end.
+//! Requests a session's text from an offset on, and all further text until the session ends.
 struct JoinRequest {
     std::string requestId;
     std::uint64_t offset = 0;
 };
 
-//! "Say whether this attempt was started; if it was not, never start it."
+//! Asks whether an attempt was started, and bars the agent from starting it if it was not.
 struct BarRequest {
     std::string requestId;
     std::uint32_t attempt = 0;
     std::string incarnation;
-    bool askOnly = false; //!< say what is known, and bar nothing
+    bool askOnly = false; //!< return the attempt's state without barring it
 };
 
 enum class AttemptState {
-    unknown, //!< this process can't tell
-    unseen,  //!< it has not arrived; only answered to askOnly
-    barred,  //!< never started, and never will be
+    unknown, //!< this process can't tell whether the attempt was started
+    unseen,  //!< the attempt has not arrived; sent only in answer to askOnly
+    barred,  //!< the attempt was never started and never will be
     started,
     finished,
 };
@@ -114,7 +114,7 @@
     AttemptState state = AttemptState::unknown;
 };
 
-//! Who works on a claimed key.
+//! The request and the process that work on a claimed key.
 struct ClaimHolder {
     std::string requestId;
     std::uint32_t attempt = 0;
@@ -123,9 +123,9 @@
 };
 
 enum class ClaimStep {
-    claim,   //!< take the key for `holder`
-    move,    //!< the same request goes to another executor; `previous` was barred
-    resolve, //!< record how it ended
+    claim,   //!< claim the key for `holder`
+    move,    //!< move the same request to another executor; its previous attempt was barred
+    resolve, //!< record the request's outcome
 };
 
 enum class ClaimOutcome { notRun, finished, unknown };
@@ -133,7 +133,7 @@
 struct ClaimRequest {
     ClaimStep step = ClaimStep::claim;
     std::string key;
-    std::string fingerprint; //!< hash of what the request asks for
+    std::string fingerprint; //!< hash of the request's content
     ClaimHolder holder;
     ClaimOutcome outcome = ClaimOutcome::unknown;
     int status = 0;
@@ -143,9 +143,9 @@
 
 enum class ClaimVerdict {
     granted,
-    busy,     //!< another request holds it; see `holder`
-    finished, //!< it ran; the answer is attached
-    unknown,  //!< it may have run in the past; the owner cannot tell
+    busy,     //!< another request holds the key; see `holder`
+    finished, //!< the request ran; its answer is attached
+    unknown,  //!< the request may have run in the past; the owner can't tell
     notOwner, //!< this agent does not own the key's slot
     mismatch, //!< the key was used for a different request
     early,    //!< the key's time lies in the future
@@ -165,7 +165,7 @@
     std::uint64_t revision = 0;
 };
 
-//! A model, adapter or service that an agent can run now or is about to.
+//! A model, adapter or service that an agent can run now or will be able to run soon.
 struct ResidentItem {
     std::string kind; //!< model, adapter or service
     std::string name;
@@ -173,13 +173,13 @@
     bool ready = false;
 };
 
-//! Requests for a model that an agent saw since its last report.
+//! Number of requests for a model that an agent has received since its last report.
 struct ModelDemand {
     std::string model;
     std::uint32_t arrivals = 0;
 };
 
-//! What changes with every request; sent between full reports.
+//! The figures that change with every request; sent between full reports.
 struct LoadReport {
     std::uint64_t sequence = 0;
     std::uint32_t running = 0;
@@ -188,7 +188,7 @@
     std::vector<ModelDemand> demand;
 };
 
-//! An agent's full report; sent when more than its load has changed, and now and then.
+//! An agent's full report; sent when more than its load has changed, and at intervals.
 struct AgentStatus {
     std::string vm;
     std::string hall;
@@ -197,44 +197,44 @@
     std::string incarnation;
     std::uint64_t sequence = 0;
     bool draining = false;
-    bool mayOrder = false; //!< it has an epoch and gives orders
+    bool mayOrder = false; //!< the agent has an epoch and gives orders to its engine
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    std::uint32_t capacity = 0;  //!< requests run at once
-    std::uint32_t serviceMs = 0; //!< smoothed time that a request holds its place
+    std::uint32_t capacity = 0;  //!< most requests that run at once
+    std::uint32_t serviceMs = 0; //!< smoothed time for which a request occupies a slot
     std::uint32_t accelerators = 0;
-    std::uint64_t freeBytes = 0; //!< the largest free room on one accelerator
+    std::uint64_t freeBytes = 0; //!< largest amount of free memory on one accelerator
     std::vector<ResidentItem> items;
     std::vector<ModelDemand> demand;
     std::uint64_t revision = 0;
 };
 
-//! "Send me what lies behind this revision."
+//! Requests the configuration committed after this revision.
 struct ConfigAsk {
     std::uint64_t revision = 0;
 };
 
-//! Committed configuration, passed between peers as the head object's JSON text.
+//! Committed configuration, sent between peers as the head object's JSON text.
 struct ConfigNews {
     std::uint64_t revision = 0;
     std::string head;     //!< the head object, JSON
-    std::string snapshot; //!< full state, JSON; empty when the head's tail is enough
+    std::string snapshot; //!< full state, JSON; empty when the head's tail suffices
 };
 
-//! The models an agent should hold, from the planner that holds `epoch`.
+//! The models that an agent should hold, sent by the planner that holds `epoch`.
 struct PlanTargets {
     std::uint64_t epoch = 0;
     std::string planner;
     std::uint64_t sequence = 0;
     std::vector<ResidentItem> items;
-    std::vector<std::string> spares; //!< models of these that have copies elsewhere
+    std::vector<std::string> spares; //!< models among `items` that have copies elsewhere
 };
 
 using Message = std::variant<RunRequest, RunAccepted, RunRefused, RunChunk, RunDone, RunFailed,
                              JoinRequest, BarRequest, BarAnswer, ClaimRequest, ClaimAnswer, Hello,
                              AgentStatus, LoadReport, ConfigAsk, ConfigNews, PlanTargets>;
 
-//! Why bytes are not a message.
+//! Why bytes could not be decoded as a message.
 struct CodecError {
     std::string detail;
 };
@@ -246,9 +246,9 @@
     CodecError error;
 };
 
-//! The message as CBOR: an array of the type's number and a map of its fields.
+//! Encodes a message as CBOR: an array of the type's index in Message and a map of its fields.
 std::string encode( const Message& message );
-//! Reads a message; bounds nesting, and never throws.
+//! Decodes a message. Limits the nesting depth, and never throws.
 Decoded decode( std::string_view bytes );
 
 } // namespace coursehead::peer
--- a/include/coursehead/peer/stream.hpp
+++ b/include/coursehead/peer/stream.hpp
@@ -16,23 +16,24 @@
 class LoopCore;
 } // namespace Detail
 
-//! What a wait for a frame ended with.
+//! Result of waiting for a frame.
 enum class ReceiveStatus {
-    frame,    //!< a whole frame
-    finished, //!< the far side ended the stream in order
-    refused,  //!< the far side took nothing from this stream: its work was never started
-    broken,   //!< reset, or the connection was lost; the far side may have acted
-    timeout,  //!< nothing came in time; the stream is still open
+    frame,    //!< a complete frame
+    finished, //!< the peer ended the stream normally
+    refused,  //!< the peer did not accept the stream: its work was never started
+    broken,   //!< reset, or the connection was lost; the peer may have acted
+    timeout,  //!< no frame arrived in time; the stream is still open
 };
 
-struct Received {
+struct ReceiveResult {
     ReceiveStatus status = ReceiveStatus::timeout;
     std::string frame;
 };
 
 /**
- * One bidirectional stream of frames on a peer connection. Any thread may use it. Frames wait in
- * a bounded window: a receiver that does not read slows its own sender and no other stream.
+ * One bidirectional stream of frames on a peer connection. Any thread may use it. Flow control
+ * bounds the frames in transit: a receiver that does not read slows its own sender, but no other
+ * stream.
  */
 class Stream {
 public:
@@ -42,15 +43,16 @@
     Stream( const Stream& ) = delete;
     Stream& operator=( const Stream& ) = delete;
 
-    //! Queues a frame, waiting for room until the deadline; false when ended or out of time.
+    //! Queues a frame, and waits until the deadline for space in the queue. False when the stream
+    //! has ended or the deadline has passed.
     bool send( std::string_view message, MonoTime deadline );
-    //! Queues a frame when there is room; never waits.
+    //! Queues a frame if the queue has space; never waits.
     bool trySend( std::string_view message );
-    //! Waits for the next frame.
-    Received receive( MonoTime deadline );
-    //! Ends our side in order, after what is queued.
+    //! Waits for the next frame until the deadline.
+    ReceiveResult receive( MonoTime deadline );
+    //! Ends our side normally, after the queued frames.
     void finish();
-    //! Resets the stream: the far side learns that its answer is no longer wanted.
+    //! Resets the stream: the peer learns that its answer is no longer wanted.
     void cancel();
     //! True once the stream is closed by either side.
     bool ended() const;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -8,7 +8,7 @@
 namespace coursehead::http {
 
 struct Client::Impl {
-    explicit Impl( const settings::HostPort& at ) : client( at.host, at.port ) {}
+    explicit Impl( const settings::HostPort& hostPort ) : client( hostPort.host, hostPort.port ) {}
     httplib::Client client;
 };
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -29,9 +29,10 @@
 namespace {
 
 /**
- * Gives each connection a thread of its own while it is busy. cpp-httplib's own pool has a fixed
- * size, which either wastes stacks or lets connections wait. Known limit: past the pool's limit
- * further connections wait in its queue (the library hands us no socket to refuse them on).
+ * Gives each connection its own thread while it is busy. cpp-httplib's own pool has a fixed size,
+ * which either wastes stacks or makes connections wait. Known limitation: connections beyond the
+ * pool's limit wait in its queue, because the library does not pass the socket on which they could
+ * be refused.
  */
 class ElasticQueue : public httplib::TaskQueue {
 public:
@@ -43,7 +44,7 @@
     ElasticPool m_pool;
 };
 
-constexpr int backlog = 1024;
+constexpr int listenBacklog = 1024;
 
 Request convert( const httplib::Request& from ) {
     Request out;
@@ -89,7 +90,7 @@
     std::thread thread;
 };
 
-Server::Server( ServerLimits limits, Handler handler, ErrorBody errorBody )
+Server::Server( ServerLimits limits, Handler handler, ErrorResponder errorResponder )
     : m_impl( std::make_unique<Impl>() ) {
     auto& server = m_impl->server;
     server.new_task_queue = [limits] {
@@ -109,17 +110,17 @@
                                                          httplib::Response& to ) {
         convert( handler( convert( from ) ), to );
     };
-    const std::string all = ".*";
-    server.Get( all, route );
-    server.Post( all, route );
-    server.Put( all, route );
-    server.Delete( all, route );
-    const httplib::Server::Handler onError =
-        [errorBody = std::move( errorBody )]( const httplib::Request&, httplib::Response& to ) {
-            if( to.body.empty() && !to.content_provider_ ) {
-                convert( errorBody( to.status ), to );
-            }
-        };
+    const std::string anyPath = ".*";
+    server.Get( anyPath, route );
+    server.Post( anyPath, route );
+    server.Put( anyPath, route );
+    server.Delete( anyPath, route );
+    const httplib::Server::Handler onError = [errorResponder = std::move( errorResponder )](
+                                                 const httplib::Request&, httplib::Response& to ) {
+        if( to.body.empty() && !to.content_provider_ ) {
+            convert( errorResponder( to.status ), to );
+        }
+    };
     server.set_error_handler( onError );
 }
 
@@ -134,8 +135,9 @@
     if( bound < 0 ) {
         return -1;
     }
-    // The library listens with a backlog of 5: a burst of callers would wait for a resent SYN.
-    ::listen( m_impl->listenFd, backlog );
+    // The library listens with a backlog of 5, so that in a burst of connections some would wait
+    // for a resent SYN.
+    ::listen( m_impl->listenFd, listenBacklog );
     m_impl->thread = std::thread( [&server] { server.listen_after_bind(); } );
     while( !server.is_running() ) {
         std::this_thread::yield();
--- a/src/peer/connection.cpp
+++ b/src/peer/connection.cpp
@@ -15,26 +15,26 @@
 
 namespace {
 
-constexpr std::size_t readBytes = 64U << 10U;
-constexpr std::uint32_t streamWindow = 256U << 10U;
+constexpr std::size_t ioBufferBytes = 64U << 10U;
+constexpr std::uint32_t streamWindowBytes = 256U << 10U;
 constexpr std::uint32_t maxHeaderBytes = 4U << 10U;
-//! Resets a peer may send within a second before it is taken for hostile.
+//! RST_STREAM frames that a peer may send within a second; more are treated as an attack.
 constexpr std::size_t maxResetsPerSecond = 2000;
-constexpr int connectionWindow = 16 << 20;
-constexpr std::size_t partialLimit = streamWindow / 4;
+constexpr int connectionWindowBytes = 16 << 20;
+constexpr std::size_t earlyCreditThresholdBytes = streamWindowBytes / 4;
 
 nghttp2_nv header( std::string_view name, std::string_view value ) {
-    // nghttp2 copies names and values unless told otherwise; it never writes through them.
+    // nghttp2 copies names and values (no NO_COPY flag is set) and never writes through them.
     auto* nameBytes = reinterpret_cast<std::uint8_t*>( const_cast<char*>( name.data() ) );
     auto* valueBytes = reinterpret_cast<std::uint8_t*>( const_cast<char*>( value.data() ) );
     return { nameBytes, valueBytes, name.size(), value.size(), NGHTTP2_NV_FLAG_NONE };
 }
 
-std::string_view view( const std::uint8_t* bytes, std::size_t n ) {
+std::string_view toStringView( const std::uint8_t* bytes, std::size_t n ) {
     return { reinterpret_cast<const char*>( bytes ), n };
 }
 
-Connection& self( void* user ) {
+Connection& connectionOf( void* user ) {
     return *static_cast<Connection*>( user );
 }
 
@@ -43,19 +43,19 @@
     auto& state = *static_cast<StreamState*>( source->ptr );
     const std::lock_guard lock( state.mutex );
     const auto n = std::min( length, state.outbox.size() );
-    if( n == 0 && !state.finishWanted ) {
+    if( n == 0 && !state.finishRequested ) {
         return NGHTTP2_ERR_DEFERRED;
     }
     std::copy_n( state.outbox.data(), n, reinterpret_cast<char*>( buf ) );
     state.outbox.erase( 0, n );
-    if( state.finishWanted && state.outbox.empty() ) {
+    if( state.finishRequested && state.outbox.empty() ) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
     }
     state.changed.notify_all();
     return static_cast<ssize_t>( n );
 }
 
-nghttp2_data_provider provider( StreamState& state ) {
+nghttp2_data_provider makeBodyProvider( StreamState& state ) {
     nghttp2_data_provider out{};
     out.source.ptr = &state;
     out.read_callback = readBody;
@@ -67,38 +67,38 @@
     nghttp2_session_callbacks_new( &out );
     nghttp2_session_callbacks_set_on_begin_headers_callback(
         out, []( nghttp2_session*, const nghttp2_frame* frame, void* user ) {
-            self( user ).onBeginHeaders( frame->hd.stream_id );
+            connectionOf( user ).onBeginHeaders( frame->hd.stream_id );
             return 0;
         } );
     nghttp2_session_callbacks_set_on_header_callback(
         out, []( nghttp2_session*, const nghttp2_frame* frame, const std::uint8_t* name,
                  std::size_t nameLength, const std::uint8_t* value, std::size_t valueLength,
                  std::uint8_t, void* user ) {
-            self( user ).onHeader( frame->hd.stream_id, view( name, nameLength ),
-                                   view( value, valueLength ) );
+            connectionOf( user ).onHeader( frame->hd.stream_id, toStringView( name, nameLength ),
+                                           toStringView( value, valueLength ) );
             return 0;
         } );
     nghttp2_session_callbacks_set_on_frame_recv_callback(
         out, []( nghttp2_session*, const nghttp2_frame* frame, void* user ) {
-            self( user ).onFrame( *frame );
+            connectionOf( user ).onFrame( *frame );
             return 0;
         } );
     nghttp2_session_callbacks_set_on_data_chunk_recv_callback(
         out, []( nghttp2_session*, std::uint8_t, std::int32_t id, const std::uint8_t* data,
                  std::size_t n, void* user ) {
-            self( user ).onData( id, view( data, n ) );
+            connectionOf( user ).onData( id, toStringView( data, n ) );
             return 0;
         } );
     nghttp2_session_callbacks_set_on_frame_send_callback(
         out, []( nghttp2_session*, const nghttp2_frame* frame, void* user ) {
             if( frame->hd.type == NGHTTP2_GOAWAY ) {
-                self( user ).onGoawaySent( frame->goaway.error_code );
+                connectionOf( user ).onGoawaySent( frame->goaway.error_code );
             }
             return 0;
         } );
     nghttp2_session_callbacks_set_on_stream_close_callback(
         out, []( nghttp2_session*, std::int32_t id, std::uint32_t code, void* user ) {
-            self( user ).onClose( id, code );
+            connectionOf( user ).onClose( id, code );
             return 0;
         } );
     return out;
@@ -149,9 +149,11 @@
     }
 }
 
-Connection::Connection( std::uint64_t id, int fd, Side side, ConnectionHost& host, MonoTime now )
-    : m_id( id ), m_fd( fd ), m_side( side ), m_host( host ), m_connecting( side == Side::client ),
-      m_lastBytes( now ), m_lastPing( now ), m_resetWindow( now ) {
+Connection::Connection( std::uint64_t id, int fd, Side side, ConnectionContext& context,
+                        MonoTime now )
+    : m_id( id ), m_fd( fd ), m_side( side ), m_context( context ),
+      m_connecting( side == Side::client ), m_lastReceived( now ), m_lastPing( now ),
+      m_resetWindowStart( now ) {
     if( side == Side::server ) {
         startSession();
     }
@@ -166,11 +168,11 @@
 }
 
 void Connection::startSession() {
-    const auto* settings = m_host.settings;
+    const auto* settings = m_context.settings;
     const std::array<nghttp2_settings_entry, 3> entries{ {
         { NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS,
           static_cast<std::uint32_t>( settings->maxStreams ) },
-        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindow },
+        { NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, streamWindowBytes },
         { NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, maxHeaderBytes },
     } };
     if( m_side == Side::client ) {
@@ -179,20 +181,20 @@
         nghttp2_session_server_new2( &m_session, callbacks(), this, options() );
     }
     nghttp2_submit_settings( m_session, NGHTTP2_FLAG_NONE, entries.data(), entries.size() );
-    nghttp2_session_set_local_window_size( m_session, NGHTTP2_FLAG_NONE, 0, connectionWindow );
+    nghttp2_session_set_local_window_size( m_session, NGHTTP2_FLAG_NONE, 0, connectionWindowBytes );
     flush();
 }
 
 void Connection::fail( std::string_view why ) {
-    if( !m_dead ) {
-        m_dead = true;
+    if( !m_failed ) {
+        m_failed = true;
         log::debug( "peer_connection_lost",
                     { { "connection", static_cast<std::int64_t>( m_id ) }, { "reason", why } } );
     }
 }
 
 void Connection::onReadable( MonoTime now ) {
-    std::array<std::uint8_t, readBytes> buf; // NOLINT(*-member-init): filled by recv
+    std::array<std::uint8_t, ioBufferBytes> buf; // NOLINT(*-member-init): filled by recv
     const auto n = ::recv( m_fd, buf.data(), buf.size(), 0 );
     if( n < 0 && ( errno == EAGAIN || errno == EINTR ) ) {
         return;
@@ -201,13 +203,13 @@
         fail( n == 0 ? "closed by peer" : "receive failed" );
         return;
     }
-    m_lastBytes = now;
-    m_host.stats->bytesIn += static_cast<std::uint64_t>( n );
-    const auto taken =
+    m_lastReceived = now;
+    m_context.stats->bytesIn += static_cast<std::uint64_t>( n );
+    const auto consumed =
         nghttp2_session_mem_recv( m_session, buf.data(), static_cast<std::size_t>( n ) );
-    if( taken < 0 ) {
-        ++m_host.stats->protocolErrors;
-        fail( nghttp2_strerror( static_cast<int>( taken ) ) );
+    if( consumed < 0 ) {
+        ++m_context.stats->protocolErrors;
+        fail( nghttp2_strerror( static_cast<int>( consumed ) ) );
         return;
     }
     flush();
@@ -223,7 +225,7 @@
             return;
         }
         m_connecting = false;
-        m_lastBytes = now;
+        m_lastReceived = now;
         startSession();
         return;
     }
@@ -231,12 +233,12 @@
 }
 
 void Connection::flush() {
-    if( m_session == nullptr || m_dead ) {
+    if( m_session == nullptr || m_failed ) {
         return;
     }
     for( ;; ) {
         const std::uint8_t* data = nullptr;
-        while( m_out.size() - m_outAt < readBytes ) {
+        while( m_writeBuffer.size() - m_writeOffset < ioBufferBytes ) {
             const auto n = nghttp2_session_mem_send( m_session, &data );
             if( n < 0 ) {
                 fail( nghttp2_strerror( static_cast<int>( n ) ) );
@@ -245,13 +247,13 @@
             if( n == 0 ) {
                 break;
             }
-            m_out.append( view( data, static_cast<std::size_t>( n ) ) );
+            m_writeBuffer.append( toStringView( data, static_cast<std::size_t>( n ) ) );
         }
-        if( m_outAt == m_out.size() ) {
+        if( m_writeOffset == m_writeBuffer.size() ) {
             break;
         }
-        const auto sent =
-            ::send( m_fd, m_out.data() + m_outAt, m_out.size() - m_outAt, MSG_NOSIGNAL );
+        const auto sent = ::send( m_fd, m_writeBuffer.data() + m_writeOffset,
+                                  m_writeBuffer.size() - m_writeOffset, MSG_NOSIGNAL );
         if( sent < 0 && ( errno == EAGAIN || errno == EINTR ) ) {
             return;
         }
@@ -259,11 +261,11 @@
             fail( "send failed" );
             return;
         }
-        m_host.stats->bytesOut += static_cast<std::uint64_t>( sent );
-        m_outAt += static_cast<std::size_t>( sent );
-        if( m_outAt == m_out.size() ) {
-            m_out.clear();
-            m_outAt = 0;
+        m_context.stats->bytesOut += static_cast<std::uint64_t>( sent );
+        m_writeOffset += static_cast<std::size_t>( sent );
+        if( m_writeOffset == m_writeBuffer.size() ) {
+            m_writeBuffer.clear();
+            m_writeOffset = 0;
         }
     }
     if( nghttp2_session_want_read( m_session ) == 0 &&
@@ -273,19 +275,21 @@
 }
 
 void Connection::tick( MonoTime now ) {
-    const auto* settings = m_host.settings;
+    const auto* settings = m_context.settings;
     if( m_side == Side::server || m_connecting ) {
-        // The accepting side only sweeps up: the connecting side pings, and decides first.
-        const auto patience =
-            m_connecting ? settings->silence : 2 * settings->silence + 2 * settings->idlePing;
-        if( now - m_lastBytes > patience ) {
+        // The accepting side sends no pings, and its limit is longer than that of the connecting
+        // side, so that the connecting side closes a silent connection first.
+        const auto silenceLimit = m_connecting
+                                      ? settings->silence
+                                      : 2 * settings->silence + 2 * settings->idlePingInterval;
+        if( now - m_lastReceived > silenceLimit ) {
             fail( "silent for too long" );
         }
         return;
     }
-    const auto interval = m_streams.size() > 1 ? settings->silence / 3 : settings->idlePing;
-    // Counted from the first ping without an answer: later ones must not put the end off.
-    const bool unanswered = m_unansweredSince > m_lastBytes;
+    const auto interval = m_streams.size() > 1 ? settings->silence / 3 : settings->idlePingInterval;
+    // Measured from the first unanswered ping, so that later pings don't extend the limit.
+    const bool unanswered = m_unansweredSince > m_lastReceived;
     if( unanswered && now - m_unansweredSince > settings->silence * 2 / 3 ) {
         fail( "silent for too long" );
         return;
@@ -301,7 +305,7 @@
 }
 
 void Connection::submitRequest( const StatePtr& state ) {
-    const std::string authorization = "Bearer " + m_host.settings->token;
+    const std::string authorization = "Bearer " + m_context.settings->token;
     const std::array<nghttp2_nv, 5> headers{
         header( ":method", "POST" ),
         header( ":scheme", "http" ),
@@ -309,7 +313,7 @@
         header( ":path", state->path ),
         header( "authorization", authorization ),
     };
-    const auto body = provider( *state );
+    const auto body = makeBodyProvider( *state );
     const auto id = nghttp2_submit_request( m_session, nullptr, headers.data(), headers.size(),
                                             &body, nullptr );
     if( id < 0 ) {
@@ -321,7 +325,7 @@
     m_streams.emplace( id, state );
 }
 
-void Connection::serve( const StatePtr& state ) {
+void Connection::applyStreamChanges( const StatePtr& state ) {
     if( find( state->id ) != state ) {
         return;
     }
@@ -329,11 +333,11 @@
     bool cancelled = false;
     {
         const std::lock_guard lock( state->mutex );
-        const auto prepaid = std::min( state->prepaid, state->uncredited );
-        credit = state->uncredited - prepaid;
-        state->prepaid -= prepaid;
+        const auto earlyCredit = std::min( state->earlyCredit, state->uncredited );
+        credit = state->uncredited - earlyCredit;
+        state->earlyCredit -= earlyCredit;
         state->uncredited = 0;
-        cancelled = state->cancelWanted;
+        cancelled = state->cancelRequested;
     }
     if( credit > 0 ) {
         nghttp2_session_consume_stream( m_session, state->id, credit );
@@ -351,7 +355,7 @@
 }
 
 void Connection::refuse( std::int32_t id ) {
-    ++m_host.stats->refusedStreams;
+    ++m_context.stats->refusedStreams;
     nghttp2_submit_rst_stream( m_session, NGHTTP2_FLAG_NONE, id, NGHTTP2_REFUSED_STREAM );
 }
 
@@ -381,13 +385,13 @@
 
 void Connection::onFrame( const nghttp2_frame& frame ) {
     if( frame.hd.type == NGHTTP2_RST_STREAM ) {
-        const auto now = m_lastBytes;
-        if( now - m_resetWindow > std::chrono::seconds( 1 ) ) {
-            m_resetWindow = now;
-            m_resets = 0;
+        const auto now = m_lastReceived;
+        if( now - m_resetWindowStart > std::chrono::seconds( 1 ) ) {
+            m_resetWindowStart = now;
+            m_resetCount = 0;
         }
-        if( ++m_resets > maxResetsPerSecond ) {
-            ++m_host.stats->protocolErrors;
+        if( ++m_resetCount > maxResetsPerSecond ) {
+            ++m_context.stats->protocolErrors;
             fail( "too many resets" );
         }
         return;
@@ -400,34 +404,34 @@
         frame.headers.cat == NGHTTP2_HCAT_REQUEST ) {
         onRequestComplete( state );
     }
-    const bool carriesEnd = frame.hd.type == NGHTTP2_HEADERS || frame.hd.type == NGHTTP2_DATA;
-    if( carriesEnd && ( frame.hd.flags & NGHTTP2_FLAG_END_STREAM ) != 0 ) {
-        onRemoteDone( state );
+    const bool mayEndStream = frame.hd.type == NGHTTP2_HEADERS || frame.hd.type == NGHTTP2_DATA;
+    if( mayEndStream && ( frame.hd.flags & NGHTTP2_FLAG_END_STREAM ) != 0 ) {
+        onRemoteClosed( state );
     }
 }
 
 void Connection::onRequestComplete( const StatePtr& state ) {
-    if( !sameToken( state->token, m_host.settings->token ) ) {
-        ++m_host.stats->unauthorized;
+    if( !sameToken( state->token, m_context.settings->token ) ) {
+        ++m_context.stats->unauthorized;
         log::warn( "peer_unauthorized", { { "connection", static_cast<std::int64_t>( m_id ) } } );
         refuse( state->id );
         nghttp2_session_terminate_session( m_session, NGHTTP2_NO_ERROR );
         return;
     }
-    if( !m_host.accept( state ) ) {
+    if( !m_context.accept( state ) ) {
         refuse( state->id );
         return;
     }
     const std::array<nghttp2_nv, 1> headers{ header( ":status", "200" ) };
-    const auto body = provider( *state );
+    const auto body = makeBodyProvider( *state );
     nghttp2_submit_response( m_session, state->id, headers.data(), headers.size(), &body );
 }
 
-void Connection::onRemoteDone( const StatePtr& state ) {
+void Connection::onRemoteClosed( const StatePtr& state ) {
     std::function<void()> listener;
     {
         const std::lock_guard lock( state->mutex );
-        state->remoteDone = true;
+        state->remoteClosed = true;
         state->changed.notify_all();
         listener = state->listener;
     }
@@ -444,16 +448,17 @@
     }
     std::vector<std::string> frames;
     if( !state->reader.feed( bytes, frames ) ) {
-        ++m_host.stats->protocolErrors;
+        ++m_context.stats->protocolErrors;
         nghttp2_submit_rst_stream( m_session, NGHTTP2_FLAG_NONE, id, NGHTTP2_PROTOCOL_ERROR );
         return;
     }
     if( frames.empty() ) {
-        // A frame larger than the window could never complete if its start were not given back.
-        if( state->reader.partialBytes() > partialLimit ) {
+        // Returns window credit for an incomplete frame: a frame larger than the stream's window
+        // could otherwise never complete.
+        if( state->reader.partialBytes() > earlyCreditThresholdBytes ) {
             nghttp2_session_consume_stream( m_session, id, bytes.size() );
             const std::lock_guard lock( state->mutex );
-            state->prepaid += bytes.size();
+            state->earlyCredit += bytes.size();
         }
         return;
     }
@@ -473,7 +478,7 @@
 
 void Connection::onGoawaySent( std::uint32_t code ) {
     if( code != NGHTTP2_NO_ERROR ) {
-        ++m_host.stats->protocolErrors;
+        ++m_context.stats->protocolErrors;
     }
 }
 
@@ -483,14 +488,14 @@
         return;
     }
     m_streams.erase( id );
-    bool remoteDone = false;
+    bool remoteClosed = false;
     {
         const std::lock_guard lock( state->mutex );
-        remoteDone = state->remoteDone;
+        remoteClosed = state->remoteClosed;
     }
     if( code == NGHTTP2_REFUSED_STREAM ) {
         endStream( *state, StreamEnd::refused );
-    } else if( remoteDone ) {
+    } else if( remoteClosed ) {
         endStream( *state, StreamEnd::finished );
     } else {
         endStream( *state, StreamEnd::broken );
--- a/src/peer/connection.hpp
+++ b/src/peer/connection.hpp
@@ -15,45 +15,47 @@
 
 using StatePtr = std::shared_ptr<StreamState>;
 
-//! Which end of the TCP connection we are.
+//! Role of this process on the TCP connection.
 enum class Side { client, server };
 
-//! What a connection asks of its loop.
-struct ConnectionHost {
+//! The parts of the loop that a connection uses.
+struct ConnectionContext {
     const LoopSettings* settings = nullptr;
     LoopStats* stats = nullptr;
-    //! Takes a stream that the peer opened; false when no handler is free.
+    //! Starts the handler of a stream that the peer opened; false when no handler is free.
     std::function<bool( StatePtr state )> accept;
 };
 
-//! One TCP connection with its nghttp2 session. Used by the loop's thread only.
+//! One TCP connection and its nghttp2 session. Used by the loop's thread only.
 class Connection {
 public:
-    Connection( std::uint64_t id, int fd, Side side, ConnectionHost& host, MonoTime now );
-    //! Closes the socket; streams still open end as broken.
+    Connection( std::uint64_t id, int fd, Side side, ConnectionContext& context, MonoTime now );
+    //! Closes the socket; streams that are still open end as broken.
     ~Connection();
     Connection( const Connection& ) = delete;
     Connection& operator=( const Connection& ) = delete;
 
     int fd() const noexcept { return m_fd; }
-    bool wantsWrite() const noexcept { return m_outAt < m_out.size() || m_connecting; }
+    bool wantsWrite() const noexcept {
+        return m_writeOffset < m_writeBuffer.size() || m_connecting;
+    }
     bool connecting() const noexcept { return m_connecting; }
-    bool dead() const noexcept { return m_dead; }
+    bool failed() const noexcept { return m_failed; }
 
-    //! Takes what the socket has.
+    //! Receives bytes from the socket and passes them to nghttp2.
     void onReadable( MonoTime now );
-    //! Completes a connect, or sends what is queued.
+    //! Completes the connect, or sends queued bytes.
     void onWritable( MonoTime now );
-    //! Pings when due and gives the connection up after too long a silence.
+    //! Sends a ping when one is due, and fails the connection after too long a silence.
     void tick( MonoTime now );
-    //! Opens a stream towards the peer.
+    //! Opens a stream to the peer.
     void submitRequest( const StatePtr& state );
-    //! Acts on what a stream's user asked for: data, end, reset, window.
-    void serve( const StatePtr& state );
-    //! Lets nghttp2 write, and writes to the socket.
+    //! Applies what the stream's user has done: queued data, finished, cancelled or read frames.
+    void applyStreamChanges( const StatePtr& state );
+    //! Writes nghttp2's output to the socket.
     void flush();
 
-    // Called by nghttp2's callbacks.
+    // Called from nghttp2's callbacks.
     void onHeader( std::int32_t id, std::string_view name, std::string_view value );
     void onBeginHeaders( std::int32_t id );
     void onFrame( const nghttp2_frame& frame );
@@ -64,7 +66,7 @@
 private:
     void startSession();
     void onRequestComplete( const StatePtr& state );
-    void onRemoteDone( const StatePtr& state );
+    void onRemoteClosed( const StatePtr& state );
     void refuse( std::int32_t id );
     void fail( std::string_view why );
     StatePtr find( std::int32_t id ) const;
@@ -72,21 +74,21 @@
     std::uint64_t m_id;
     int m_fd;
     Side m_side;
-    ConnectionHost& m_host;
+    ConnectionContext& m_context;
     nghttp2_session* m_session = nullptr;
     std::map<std::int32_t, StatePtr> m_streams;
-    std::string m_out;
-    std::size_t m_outAt = 0;
+    std::string m_writeBuffer;
+    std::size_t m_writeOffset = 0;
     bool m_connecting = false;
-    bool m_dead = false;
-    MonoTime m_lastBytes;
+    bool m_failed = false;
+    MonoTime m_lastReceived;
     MonoTime m_lastPing;
-    MonoTime m_unansweredSince; //!< the first ping since the last bytes came
-    MonoTime m_resetWindow;
-    std::size_t m_resets = 0;
+    MonoTime m_unansweredSince; //!< first ping sent since bytes were last received
+    MonoTime m_resetWindowStart;
+    std::size_t m_resetCount = 0;
 };
 
-//! Ends a stream, wakes its users and tells its listener.
+//! Ends a stream, wakes the threads that wait on it and calls its listener.
 void endStream( StreamState& state, StreamEnd end );
 
 } // namespace coursehead::peer::Detail
--- a/src/peer/frame.cpp
+++ b/src/peer/frame.cpp
@@ -5,8 +5,9 @@
 
 namespace {
 
-//! A reader at rest keeps no more than this: a large frame is rare.
-constexpr std::size_t keptBytes = 1U << 10U;
+//! Largest buffer that a reader keeps between frames. Large frames are rare, so a larger buffer
+//! is freed.
+constexpr std::size_t maxIdleBufferBytes = 1U << 10U;
 
 std::size_t readLength( std::string_view bytes ) {
     std::size_t n = 0;
@@ -27,7 +28,7 @@
 }
 
 bool FrameReader::feed( std::string_view bytes, std::vector<std::string>& frames ) {
-    if( m_bad ) {
+    if( m_failed ) {
         return false;
     }
     m_partial.append( bytes );
@@ -35,7 +36,7 @@
     while( m_partial.size() - at >= frameHeaderBytes ) {
         const auto n = readLength( std::string_view( m_partial ).substr( at ) );
         if( n > maxFrameBytes ) {
-            m_bad = true;
+            m_failed = true;
             return false;
         }
         if( m_partial.size() - at - frameHeaderBytes < n ) {
@@ -45,7 +46,7 @@
         at += frameHeaderBytes + n;
     }
     m_partial.erase( 0, at );
-    if( m_partial.empty() && m_partial.capacity() > keptBytes ) {
+    if( m_partial.empty() && m_partial.capacity() > maxIdleBufferBytes ) {
         std::string().swap( m_partial );
     }
     return true;
--- a/src/peer/loop_core.cpp
+++ b/src/peer/loop_core.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr Millis tickInterval{ 250 };
-constexpr Millis drainLimit{ 500 };
-constexpr int backlog = 256;
+constexpr Millis drainTimeout{ 500 };
+constexpr int listenBacklog = 256;
 constexpr int maxBackoffFactor = 16;
 
 MonoTime now() {
@@ -43,9 +43,9 @@
     : m_settings( std::move( settings ) ), m_handler( std::move( handler ) ),
       m_pool( m_settings.maxHandlers ), m_random( m_settings.seed ),
       m_wakeFd( ::eventfd( 0, EFD_NONBLOCK | EFD_CLOEXEC ) ) {
-    m_host.settings = &m_settings;
-    m_host.stats = &m_stats;
-    m_host.accept = [this]( const StatePtr& state ) {
+    m_context.settings = &m_settings;
+    m_context.stats = &m_stats;
+    m_context.accept = [this]( const StatePtr& state ) {
         return accept( state );
     };
 }
@@ -68,7 +68,7 @@
     ::setsockopt( m_listenFd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof( on ) );
     auto* generic = reinterpret_cast<sockaddr*>( &address );
     if( ::bind( m_listenFd, generic, sizeof( address ) ) != 0 ||
-        ::listen( m_listenFd, backlog ) != 0 ) {
+        ::listen( m_listenFd, listenBacklog ) != 0 ) {
         return -1;
     }
     socklen_t n = sizeof( address );
@@ -95,7 +95,7 @@
 LinkId LoopCore::connect( std::string host, int port ) {
     const LinkId id = m_nextLink++;
     post( [this, id, host = std::move( host ), port] {
-        m_links[id] = Link{ host, port, 0, now(), m_settings.reconnect };
+        m_links[id] = Link{ host, port, 0, now(), m_settings.reconnectDelay };
     } );
     return id;
 }
@@ -108,13 +108,13 @@
         }
         m_connections.erase( it->second.connection );
         m_links.erase( it );
-        setUp( link, false );
+        setLinkUp( link, false );
     } );
 }
 
 bool LoopCore::isUp( LinkId link ) const {
     const std::lock_guard lock( m_mutex );
-    return m_up.contains( link );
+    return m_linksUp.contains( link );
 }
 
 std::shared_ptr<Stream> LoopCore::open( LinkId link, std::string_view path ) {
@@ -132,7 +132,7 @@
             return;
         }
         found->second->submitRequest( state );
-        found->second->serve( state );
+        found->second->applyStreamChanges( state );
         found->second->flush();
     } );
     return std::make_shared<Stream>( std::move( state ), shared_from_this() );
@@ -140,13 +140,13 @@
 
 void LoopCore::enqueue( const StatePtr& state ) {
     const std::lock_guard lock( m_mutex );
-    m_dirty.push_back( state );
+    m_pendingStreams.push_back( state );
     wake();
 }
 
 void LoopCore::post( std::function<void()> task ) {
     const std::lock_guard lock( m_mutex );
-    m_posted.push_back( std::move( task ) );
+    m_postedTasks.push_back( std::move( task ) );
     wake();
 }
 
@@ -156,7 +156,7 @@
 
 LoopStats LoopCore::stats() const {
     const std::lock_guard lock( m_mutex );
-    return m_published;
+    return m_publishedStats;
 }
 
 void LoopCore::wake() {
@@ -167,8 +167,8 @@
 void LoopCore::run() {
     while( !m_stopping ) {
         runPosted();
-        serveDirty();
-        sweep();
+        processPendingStreams();
+        removeFailedConnections();
         pollOnce( tickInterval );
         tick();
     }
@@ -178,49 +178,49 @@
 }
 
 void LoopCore::drainOutput() {
-    const auto limit = now() + drainLimit;
-    const auto pending = [this] {
+    const auto deadline = now() + drainTimeout;
+    const auto hasOutput = [this] {
         return std::any_of( m_connections.begin(), m_connections.end(),
                             []( const auto& it ) { return it.second->wantsWrite(); } );
     };
     do {
         runPosted();
-        serveDirty();
+        processPendingStreams();
         pollOnce( Millis{ 1 } );
-        sweep();
-    } while( pending() && now() < limit );
+        removeFailedConnections();
+    } while( hasOutput() && now() < deadline );
 }
 
 void LoopCore::runPosted() {
     std::vector<std::function<void()>> tasks;
     {
         const std::lock_guard lock( m_mutex );
-        tasks.swap( m_posted );
+        tasks.swap( m_postedTasks );
     }
     for( auto& it : tasks ) {
         it();
     }
 }
 
-void LoopCore::serveDirty() {
-    std::vector<StatePtr> dirty;
+void LoopCore::processPendingStreams() {
+    std::vector<StatePtr> pending;
     {
         const std::lock_guard lock( m_mutex );
-        dirty.swap( m_dirty );
+        pending.swap( m_pendingStreams );
     }
-    std::set<Connection*> touched;
-    for( const auto& it : dirty ) {
+    std::set<Connection*> connectionsToFlush;
+    for( const auto& it : pending ) {
         {
             const std::lock_guard lock( it->mutex );
             it->queued = false;
         }
         const auto found = m_connections.find( it->connection );
         if( found != m_connections.end() ) {
-            found->second->serve( it );
-            touched.insert( found->second.get() );
+            found->second->applyStreamChanges( it );
+            connectionsToFlush.insert( found->second.get() );
         }
     }
-    for( auto* it : touched ) {
+    for( auto* it : connectionsToFlush ) {
         it->flush();
     }
 }
@@ -229,8 +229,8 @@
     std::vector<pollfd> fds{ { m_wakeFd, POLLIN, 0 }, { m_listenFd, POLLIN, 0 } };
     std::vector<std::uint64_t> ids;
     for( const auto& [id, connection] : m_connections ) {
-        const short wanted = connection->wantsWrite() ? POLLIN | POLLOUT : POLLIN;
-        fds.push_back( { connection->fd(), wanted, 0 } );
+        const short pollEvents = connection->wantsWrite() ? POLLIN | POLLOUT : POLLIN;
+        fds.push_back( { connection->fd(), pollEvents, 0 } );
         ids.push_back( id );
     }
     if( ::poll( fds.data(), fds.size(), static_cast<int>( timeout.count() ) ) <= 0 ) {
@@ -247,9 +247,9 @@
     if( ( fds[1].revents & POLLIN ) != 0 ) {
         acceptAll();
     }
-    constexpr std::size_t fixed = 2;
+    constexpr std::size_t fixedFds = 2;
     for( std::size_t n = 0; n < ids.size(); ++n ) {
-        const auto events = fds[n + fixed].revents;
+        const auto events = fds[n + fixedFds].revents;
         const auto found = m_connections.find( ids[n] );
         if( events == 0 || found == m_connections.end() ) {
             continue;
@@ -258,7 +258,7 @@
         if( ( events & POLLOUT ) != 0 || ( connection.connecting() && events != 0 ) ) {
             connection.onWritable( now() );
         }
-        if( ( events & ( POLLIN | POLLHUP | POLLERR ) ) != 0 && !connection.dead() ) {
+        if( ( events & ( POLLIN | POLLHUP | POLLERR ) ) != 0 && !connection.failed() ) {
             connection.onReadable( now() );
         }
     }
@@ -278,7 +278,7 @@
         const auto id = m_nextConnection++;
         m_acceptedIds.insert( id );
         m_connections.emplace(
-            id, std::make_unique<Connection>( id, fd, Side::server, m_host, now() ) );
+            id, std::make_unique<Connection>( id, fd, Side::server, m_context, now() ) );
     }
 }
 
@@ -293,20 +293,20 @@
         it.second->tick( at );
     }
     const std::lock_guard lock( m_mutex );
-    m_published = m_stats;
-    m_published.connections = m_connections.size();
+    m_publishedStats = m_stats;
+    m_publishedStats.connections = m_connections.size();
 }
 
 void LoopCore::reconnect( MonoTime at ) {
     for( auto& [id, link] : m_links ) {
-        if( link.connection == 0 && at >= link.nextTry ) {
+        if( link.connection == 0 && at >= link.nextAttempt ) {
             dial( id, link, at );
         } else if( link.connection != 0 && !isUp( id ) ) {
             const auto found = m_connections.find( link.connection );
             if( found != m_connections.end() && !found->second->connecting() &&
-                !found->second->dead() ) {
-                link.delay = m_settings.reconnect;
-                setUp( id, true );
+                !found->second->failed() ) {
+                link.delay = m_settings.reconnectDelay;
+                setLinkUp( id, true );
             }
         }
     }
@@ -314,8 +314,8 @@
 
 void LoopCore::dial( LinkId, Link& link, MonoTime at ) {
     const auto jitter = m_random.below( static_cast<std::uint64_t>( link.delay.count() ) + 1 );
-    link.nextTry = at + link.delay / 2 + Millis( jitter );
-    link.delay = std::min( link.delay * 2, m_settings.reconnect * maxBackoffFactor );
+    link.nextAttempt = at + link.delay / 2 + Millis( jitter );
+    link.delay = std::min( link.delay * 2, m_settings.reconnectDelay * maxBackoffFactor );
     sockaddr_in address{};
     if( !makeAddress( link.host, link.port, address ) ) {
         return;
@@ -329,12 +329,13 @@
     }
     const auto id = m_nextConnection++;
     link.connection = id;
-    m_connections.emplace( id, std::make_unique<Connection>( id, fd, Side::client, m_host, at ) );
+    m_connections.emplace( id,
+                           std::make_unique<Connection>( id, fd, Side::client, m_context, at ) );
 }
 
-void LoopCore::sweep() {
+void LoopCore::removeFailedConnections() {
     for( auto it = m_connections.begin(); it != m_connections.end(); ) {
-        if( !it->second->dead() ) {
+        if( !it->second->failed() ) {
             ++it;
             continue;
         }
@@ -344,17 +345,17 @@
         for( auto& [linkId, link] : m_links ) {
             if( link.connection == id ) {
                 link.connection = 0;
-                setUp( linkId, false );
+                setLinkUp( linkId, false );
             }
         }
     }
 }
 
-void LoopCore::setUp( LinkId link, bool up ) {
+void LoopCore::setLinkUp( LinkId link, bool up ) {
     bool changed = false;
     {
         const std::lock_guard lock( m_mutex );
-        changed = up ? m_up.insert( link ).second : m_up.erase( link ) > 0;
+        changed = up ? m_linksUp.insert( link ).second : m_linksUp.erase( link ) > 0;
     }
     if( changed && m_linkListener ) {
         m_linkListener( link, up );
--- a/src/peer/loop_core.hpp
+++ b/src/peer/loop_core.hpp
@@ -15,16 +15,16 @@
 
 namespace coursehead::peer::Detail {
 
-//! An outgoing connection that is kept up.
+//! An outgoing connection that is reconnected when lost.
 struct Link {
     std::string host;
     int port = 0;
-    std::uint64_t connection = 0; //!< 0 while none exists
-    MonoTime nextTry;
+    std::uint64_t connection = 0; //!< 0 while there is none
+    MonoTime nextAttempt;
     Millis delay{ 0 };
 };
 
-//! The thread behind a Loop, with its connections and links.
+//! Implementation of Loop: its thread, connections and links.
 class LoopCore : public std::enable_shared_from_this<LoopCore> {
 public:
     LoopCore( LoopSettings settings, StreamHandler handler );
@@ -37,7 +37,7 @@
     void disconnect( LinkId link );
     bool isUp( LinkId link ) const;
     std::shared_ptr<Stream> open( LinkId link, std::string_view path );
-    //! Tells the loop that a stream's user wants something; any thread.
+    //! Queues a stream on which its user has acted, for the loop to process; any thread.
     void enqueue( const StatePtr& state );
     void setLinkListener( std::function<void( LinkId, bool )> listener );
     LoopStats stats() const;
@@ -47,15 +47,15 @@
     void wake();
     void run();
     void runPosted();
-    void serveDirty();
+    void processPendingStreams();
     void pollOnce( Millis timeout );
     void handleEvents( const std::vector<pollfd>& fds, std::span<const std::uint64_t> ids );
     void acceptAll();
     void tick();
     void reconnect( MonoTime now );
     void dial( LinkId id, Link& link, MonoTime now );
-    void sweep();
-    void setUp( LinkId link, bool up );
+    void removeFailedConnections();
+    void setLinkUp( LinkId link, bool up );
     bool accept( const StatePtr& state );
     void drainOutput();
 
@@ -69,14 +69,14 @@
     int m_wakeFd = -1;
     int m_listenFd = -1;
 
-    mutable std::mutex m_mutex; //!< guards the next four
-    std::vector<std::function<void()>> m_posted;
-    std::vector<StatePtr> m_dirty;
-    std::set<LinkId> m_up;
-    LoopStats m_published;
+    mutable std::mutex m_mutex; //!< guards the four members below
+    std::vector<std::function<void()>> m_postedTasks;
+    std::vector<StatePtr> m_pendingStreams;
+    std::set<LinkId> m_linksUp;
+    LoopStats m_publishedStats;
 
-    // Loop thread only.
-    ConnectionHost m_host;
+    // Used by the loop's thread only, except m_nextLink.
+    ConnectionContext m_context;
     LoopStats m_stats;
     std::uint64_t m_nextConnection = 1;
     std::atomic<LinkId> m_nextLink{ 1 };
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -39,7 +39,7 @@
 
 constexpr std::size_t maxDepth = 8;
 
-//! Walks CBOR without building anything; stops at too deep a nesting.
+//! Parses CBOR without building values, and stops when the nesting is deeper than maxDepth.
 class DepthCheck : public nlohmann::json_sax<Json> {
 public:
     bool null() override { return true; }
@@ -51,16 +51,16 @@
     bool binary( binary_t& ) override { return true; }
     bool start_object( std::size_t ) override { return ++m_depth <= maxDepth; }
     bool key( string_t& ) override { return true; }
-    bool end_object() override { return leave(); }
+    bool end_object() override { return closeContainer(); }
     bool start_array( std::size_t ) override { return ++m_depth <= maxDepth; }
-    bool end_array() override { return leave(); }
+    bool end_array() override { return closeContainer(); }
     bool parse_error( std::size_t, const std::string&,
                       const nlohmann::detail::exception& ) override {
         return false;
     }
 
 private:
-    bool leave() {
+    bool closeContainer() {
         --m_depth;
         return true;
     }
@@ -68,14 +68,14 @@
 };
 
 template <std::size_t N>
-void readAs( const Json& body, std::size_t type, Decoded& out ) {
+void decodeBody( const Json& body, std::size_t type, Decoded& out ) {
     if constexpr( N < std::variant_size_v<Message> ) {
         if( type == N ) {
             out.message = body.get<std::variant_alternative_t<N, Message>>();
             out.ok = true;
             return;
         }
-        readAs<N + 1>( body, type, out );
+        decodeBody<N + 1>( body, type, out );
     } else {
         out.error.detail = "unknown message type " + std::to_string( type );
     }
@@ -108,7 +108,7 @@
             return failure( "not an array of a type and a body" );
         }
         Decoded out;
-        readAs<0>( parsed[1], parsed[0].get<std::size_t>(), out );
+        decodeBody<0>( parsed[1], parsed[0].get<std::size_t>(), out );
         return out;
     } catch( const Json::exception& ex ) {
         return failure( ex.what() );
--- a/src/peer/stream.cpp
+++ b/src/peer/stream.cpp
@@ -12,13 +12,13 @@
     : m_state( std::move( state ) ), m_loop( std::move( loop ) ) {}
 
 Stream::~Stream() {
-    bool drains = false;
+    bool finishing = false;
     {
         const std::lock_guard lock( m_state->mutex );
         m_state->listener = nullptr;
-        drains = m_state->accepted && m_state->finishWanted;
+        finishing = m_state->accepted && m_state->finishRequested;
     }
-    if( !drains ) {
+    if( !finishing ) {
         cancel();
     }
 }
@@ -36,13 +36,14 @@
     {
         std::unique_lock lock( m_state->mutex );
         const auto ready = [this] {
-            return m_state->outbox.size() < Detail::outboxLimit ||
-                   m_state->end != StreamEnd::open || m_state->cancelWanted;
+            return m_state->outbox.size() < Detail::maxOutboxBytes ||
+                   m_state->end != StreamEnd::open || m_state->cancelRequested;
         };
         if( !ready() && ( !wait || !m_state->changed.wait_until( lock, deadline, ready ) ) ) {
             return false;
         }
-        if( m_state->end != StreamEnd::open || m_state->finishWanted || m_state->cancelWanted ) {
+        if( m_state->end != StreamEnd::open || m_state->finishRequested ||
+            m_state->cancelRequested ) {
             return false;
         }
         appendFrame( m_state->outbox, message );
@@ -55,19 +56,20 @@
     return true;
 }
 
-Received Stream::receive( MonoTime deadline ) {
-    Received out;
+ReceiveResult Stream::receive( MonoTime deadline ) {
+    ReceiveResult out;
     bool wake = false;
     {
         std::unique_lock lock( m_state->mutex );
         m_state->changed.wait_until( lock, deadline, [this] {
-            return !m_state->inbox.empty() || m_state->remoteDone ||
+            return !m_state->inbox.empty() || m_state->remoteClosed ||
                    m_state->end != StreamEnd::open;
         } );
         if( m_state->inbox.empty() ) {
             switch( m_state->end ) {
             case StreamEnd::open:
-                out.status = m_state->remoteDone ? ReceiveStatus::finished : ReceiveStatus::timeout;
+                out.status =
+                    m_state->remoteClosed ? ReceiveStatus::finished : ReceiveStatus::timeout;
                 break;
             case StreamEnd::finished:
                 out.status = ReceiveStatus::finished;
@@ -85,7 +87,7 @@
         out.frame = std::move( m_state->inbox.front() );
         m_state->inbox.pop_front();
         m_state->uncredited += out.frame.size() + frameHeaderBytes;
-        wake = m_state->uncredited >= Detail::creditStep && !m_state->queued;
+        wake = m_state->uncredited >= Detail::creditBatchBytes && !m_state->queued;
         m_state->queued = m_state->queued || wake;
     }
     if( wake ) {
@@ -97,10 +99,10 @@
 void Stream::finish() {
     {
         const std::lock_guard lock( m_state->mutex );
-        if( m_state->finishWanted ) {
+        if( m_state->finishRequested ) {
             return;
         }
-        m_state->finishWanted = true;
+        m_state->finishRequested = true;
         m_state->queued = true;
     }
     m_loop->enqueue( m_state );
@@ -109,10 +111,10 @@
 void Stream::cancel() {
     {
         const std::lock_guard lock( m_state->mutex );
-        if( m_state->cancelWanted || m_state->end != StreamEnd::open ) {
+        if( m_state->cancelRequested || m_state->end != StreamEnd::open ) {
             return;
         }
-        m_state->cancelWanted = true;
+        m_state->cancelRequested = true;
         m_state->queued = true;
         m_state->changed.notify_all();
     }
@@ -121,7 +123,7 @@
 
 bool Stream::ended() const {
     const std::lock_guard lock( m_state->mutex );
-    return m_state->end != StreamEnd::open || m_state->cancelWanted;
+    return m_state->end != StreamEnd::open || m_state->cancelRequested;
 }
 
 void Stream::listen( std::function<void()> listener ) {
--- a/src/peer/stream_state.hpp
+++ b/src/peer/stream_state.hpp
@@ -12,25 +12,25 @@
 
 namespace coursehead::peer::Detail {
 
-//! Bytes that may wait in a stream's outgoing queue before a sender has to wait.
-inline constexpr std::size_t outboxLimit = 256U << 10U;
-//! Bytes taken by the reader after which the window is given back in one update.
-inline constexpr std::size_t creditStep = 16U << 10U;
+//! A sender waits while its stream's outgoing queue holds at least this many bytes.
+inline constexpr std::size_t maxOutboxBytes = 256U << 10U;
+//! Bytes that the user reads before their window credit is returned in one update.
+inline constexpr std::size_t creditBatchBytes = 16U << 10U;
 
 enum class StreamEnd { open, finished, refused, broken };
 
-//! State shared by the loop's thread and the stream's users; `mutex` guards all but loop-only
-//! parts.
+//! State shared by the loop's thread and the stream's users. `mutex` guards all members except
+//! those that only the loop's thread uses.
 struct StreamState {
     std::mutex mutex;
     std::condition_variable changed;
     std::deque<std::string> inbox;
-    std::size_t uncredited = 0; //!< bytes read by the user, not yet given back to the window
+    std::size_t uncredited = 0; //!< bytes read by the user, window credit not returned yet
     std::string outbox;
-    bool finishWanted = false;
-    bool cancelWanted = false;
-    bool queued = false;     //!< already on the loop's list of streams with work
-    bool remoteDone = false; //!< the far side has ended its half
+    bool finishRequested = false;
+    bool cancelRequested = false;
+    bool queued = false;       //!< already on the loop's list of pending streams
+    bool remoteClosed = false; //!< the peer has ended its side
     StreamEnd end = StreamEnd::open;
     std::function<void()> listener;
 
@@ -40,8 +40,8 @@
     std::string token;
     std::uint64_t connection = 0;
     std::int32_t id = 0;
-    std::size_t prepaid = 0; //!< window given back before the frame was complete
-    bool accepted = false;   //!< opened by the far side
+    std::size_t earlyCredit = 0; //!< window credit returned before the frame was complete
+    bool accepted = false;       //!< opened by the peer
 };
 
 } // namespace coursehead::peer::Detail
--- a/tests/unit/http.tests.cpp
+++ b/tests/unit/http.tests.cpp
@@ -28,9 +28,9 @@
     request.method = "POST";
     request.path = "/x";
     request.body = std::string( 101, 'x' );
-    const auto got = client.call( request );
-    CHECK( got.response.status == 413 );
-    CHECK( got.response.body == "error 413" );
+    const auto outcome = client.call( request );
+    CHECK( outcome.response.status == 413 );
+    CHECK( outcome.response.body == "error 413" );
 }
 
 TEST_CASE( "A refused connection is told apart from a cut one", "[http]" ) {
@@ -48,10 +48,10 @@
     http::Client client( "127.0.0.1:" + std::to_string( port ), {} );
     http::Request request;
     request.path = "/";
-    const auto got = client.call( request );
-    INFO( got.detail );
-    CHECK( got.failure == http::Failure::broken );
+    const auto outcome = client.call( request );
+    INFO( outcome.detail );
+    CHECK( outcome.failure == http::Failure::broken );
     server.stop();
-    http::Client late( "127.0.0.1:" + std::to_string( port ), {} );
-    CHECK( late.call( request ).failure == http::Failure::notSent );
+    http::Client clientAfterStop( "127.0.0.1:" + std::to_string( port ), {} );
+    CHECK( clientAfterStop.call( request ).failure == http::Failure::notSent );
 }
--- a/tests/unit/peer.tests.cpp
+++ b/tests/unit/peer.tests.cpp
@@ -24,9 +24,10 @@
                   }
                   FrameReader reader;
                   std::vector<std::string> out;
-                  const std::size_t n = step % 7 + 1;
-                  for( std::size_t at = 0; at < bytes.size(); at += n ) {
-                      RC_ASSERT( reader.feed( std::string_view( bytes ).substr( at, n ), out ) );
+                  const std::size_t pieceBytes = step % 7 + 1;
+                  for( std::size_t at = 0; at < bytes.size(); at += pieceBytes ) {
+                      RC_ASSERT(
+                          reader.feed( std::string_view( bytes ).substr( at, pieceBytes ), out ) );
                   }
                   RC_ASSERT( out == messages );
                   RC_ASSERT( reader.atBoundary() );
@@ -51,19 +52,19 @@
     request.deadlineMs = 61000;
     const auto decoded = decode( encode( request ) );
     REQUIRE( decoded.ok );
-    const auto& back = std::get<RunRequest>( decoded.message );
-    CHECK( back.requestId == "r1" );
-    CHECK( back.attempt == 2 );
-    CHECK( back.target.adapter == "fraud" );
-    CHECK( back.body == request.body );
-    CHECK( back.deadlineMs == 61000 );
+    const auto& received = std::get<RunRequest>( decoded.message );
+    CHECK( received.requestId == "r1" );
+    CHECK( received.attempt == 2 );
+    CHECK( received.target.adapter == "fraud" );
+    CHECK( received.body == request.body );
+    CHECK( received.deadlineMs == 61000 );
 }
 
 TEST_CASE( "Malformed messages are refused without a throw", "[peer][codec][hostile]" ) {
-    const auto deep = std::string( maxFrameBytes, '\x81' ); // nested arrays of one element
+    const auto deeplyNested = std::string( maxFrameBytes, '\x81' ); // nested arrays of one element
     const std::string bytes =
         GENERATE_COPY( std::string(), std::string( "\x82\x00", 2 ),
-                       std::string( "\x82\x18\x63\xa0", 4 ), deep, std::string( "hello" ) );
+                       std::string( "\x82\x18\x63\xa0", 4 ), deeplyNested, std::string( "hello" ) );
     const auto decoded = decode( bytes );
     CHECK_FALSE( decoded.ok );
     CHECK_FALSE( decoded.error.detail.empty() );
@@ -81,7 +82,7 @@
 
 TEST_CASE( "A peer that fell silent is given up though pings go out all the time",
            "[peer][loop]" ) {
-    // A listener that never answers: the kernel accepts, nobody reads.
+    // The kernel accepts connections on this socket, but no process reads from them.
     const int listener = ::socket( AF_INET, SOCK_STREAM, 0 );
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -105,11 +106,11 @@
     loop.start();
     const auto link = loop.connect( "127.0.0.1", ntohs( address.sin_port ) );
     fleet::waitUntil( "the connection", [&] { return loop.isUp( link ); } );
-    const auto one = loop.open( link, runPath );
-    const auto two = loop.open( link, runPath );
+    const auto firstStream = loop.open( link, runPath );
+    const auto secondStream = loop.open( link, runPath );
     fleet::waitUntil(
         "the link to be given up", [&] { return lost.load(); }, 10 );
-    CHECK( one->receive( coursehead::MonoTime{} ).status == ReceiveStatus::broken );
+    CHECK( firstStream->receive( coursehead::MonoTime{} ).status == ReceiveStatus::broken );
     loop.stop();
     ::close( listener );
 }
