--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -28,13 +28,14 @@
     { "listen", Kind::address, "0.0.0.0:7070", "Where entries connect to (IP:PORT)" },
     { "http-listen", Kind::address, "0.0.0.0:7071", "Where health and metrics are served" },
     { "upstream", Kind::name, "", "Name of the upstream in the configuration" },
-    { "upstream-kind", Kind::upstream, "runner", "What stands beside us: runner or service" },
+    { "upstream-kind", Kind::upstream, "runner", "Kind of the upstream: runner or service" },
     { "upstream-url", Kind::url, "", "The engine's or the service's address" },
     { "max-running", Kind::number, "32", "Requests run on the upstream at once", 1, 4096 },
-    { "queue-limit", Kind::number, "64", "Requests that may wait for a place", 0, 65536 },
-    { "min-residency-ms", Kind::number, "10000", "Time a load is not undone", 0, 3600000 },
+    { "queue-limit", Kind::number, "64", "Requests that may wait in the queue", 0, 65536 },
+    { "min-residency-ms", Kind::number, "10000", "Time before a loaded model may be unloaded", 0,
+      3600000 },
     { "cold-patience-ms", Kind::number, "20000", "Longest wait for a model to load", 0, 600000 },
-    { "orphan-patience-ms", Kind::number, "5000", "How long an answer nobody reads goes on", 0,
+    { "orphan-patience-ms", Kind::number, "5000", "How long an answer without a reader goes on", 0,
       600000 },
     { "engine-silence-ms", Kind::number, "10000", "Longest wait for an engine's next token", 100,
       600000 },
@@ -46,9 +47,9 @@
     { "clock-skew-ms", Kind::number, "2000", "How far callers' clocks may be off", 0, 600000 },
 } };
 
-constexpr Millis tidyInterval{ 1000 };
+constexpr Millis cleanupInterval{ 1000 };
 
-//! Everything an agent process holds. The kernel starts and stops the parts in order.
+//! Owns the components of an agent process. The kernel starts and stops them in order.
 class Agent {
 public:
     explicit Agent( const Settings& settings );
@@ -62,7 +63,7 @@
     http::Response handleHttp( const http::Request& request );
     peer::AgentStatus status();
     void onOwnVm( const std::map<std::string, platform::Object>& objects );
-    void beginDrain( std::string_view why );
+    void startDrain( std::string_view why );
     void listenHttp();
     void listenPeers();
     void registerGauges();
@@ -86,7 +87,7 @@
     std::unique_ptr<Reporter> m_reporter;
     peer::Loop m_loop;
     http::Server m_http;
-    std::thread m_tidyThread;
+    std::thread m_cleanupThread;
     std::mutex m_mutex;
     std::condition_variable m_stopSignal;
     bool m_stopping = false;
@@ -108,9 +109,9 @@
 }
 
 ReporterSettings reporterSettings( std::uint32_t capacity ) {
-    constexpr std::uint32_t stepsOfLoad = 8;
+    constexpr std::uint32_t loadStepsAtCapacity = 8;
     ReporterSettings out;
-    out.loadStep = std::max<std::uint32_t>( 1, capacity / stepsOfLoad );
+    out.loadStep = std::max<std::uint32_t>( 1, capacity / loadStepsAtCapacity );
     return out;
 }
 
@@ -165,7 +166,7 @@
         if( m_residency ) {
             m_residency->configChanged();
         }
-        m_reporter->changed();
+        m_reporter->scheduleReport();
     } );
     registerGauges();
     registerServices();
@@ -176,8 +177,8 @@
     out.kind = m_kind;
     out.incarnation = m_incarnation;
     out.endpoint = endpointOf( m_settings );
-    out.coldPatience = Millis( m_settings.number( "cold-patience-ms" ) );
-    out.orphanPatience = Millis( m_settings.number( "orphan-patience-ms" ) );
+    out.loadTimeout = Millis( m_settings.number( "cold-patience-ms" ) );
+    out.orphanTimeout = Millis( m_settings.number( "orphan-patience-ms" ) );
     return out;
 }
 
@@ -191,7 +192,7 @@
     out.endpoint = endpointOf( m_settings );
     out.minResidency = Millis( m_settings.number( "min-residency-ms" ) );
     m_residency = std::make_unique<Residency>( out, m_store, m_replica, m_metrics, m_clock );
-    m_residency->onChange( [this] { m_reporter->changed( true ); } );
+    m_residency->onChange( [this] { m_reporter->scheduleReport( true ); } );
 }
 
 void Agent::registerGauges() {
@@ -238,12 +239,12 @@
                     } } );
     m_kernel.add( { "tidy",
                     [this] {
-                        m_tidyThread = std::thread( [this] {
+                        m_cleanupThread = std::thread( [this] {
                             std::unique_lock lock( m_mutex );
-                            while( !m_stopSignal.wait_for( lock, tidyInterval,
+                            while( !m_stopSignal.wait_for( lock, cleanupInterval,
                                                            [this] { return m_stopping; } ) ) {
-                                m_runner->tidy();
-                                m_claims.tidy();
+                                m_runner->removeExpired();
+                                m_claims.removeExpired();
                             }
                         } );
                     },
@@ -253,13 +254,13 @@
                             m_stopping = true;
                             m_stopSignal.notify_all();
                         }
-                        m_tidyThread.join();
+                        m_cleanupThread.join();
                     } } );
 }
 
 void Agent::listenHttp() {
-    const auto at = settings::splitAddress( m_settings.text( "http-listen" ) );
-    const int port = m_http.start( at.host, at.port );
+    const auto listenAddress = settings::splitAddress( m_settings.text( "http-listen" ) );
+    const int port = m_http.start( listenAddress.host, listenAddress.port );
     if( port < 0 ) {
         throw KernelError( "can't listen on http-listen = " + m_settings.text( "http-listen" ) );
     }
@@ -267,8 +268,8 @@
 }
 
 void Agent::listenPeers() {
-    const auto at = settings::splitAddress( m_settings.text( "listen" ) );
-    const int port = m_loop.bind( at.host, at.port );
+    const auto listenAddress = settings::splitAddress( m_settings.text( "listen" ) );
+    const int port = m_loop.bind( listenAddress.host, listenAddress.port );
     if( port < 0 ) {
         throw KernelError( "can't listen on listen = " + m_settings.text( "listen" ) );
     }
@@ -278,9 +279,9 @@
 
 void Agent::handleStream( const std::string& path, std::shared_ptr<peer::Stream> stream ) {
     if( path == peer::runPath ) {
-        m_reporter->changed();
+        m_reporter->scheduleReport();
         m_runner->run( std::move( stream ) );
-        m_reporter->changed();
+        m_reporter->scheduleReport();
     } else if( path == peer::joinPath ) {
         m_runner->join( *stream );
     } else if( path == peer::barPath ) {
@@ -341,15 +342,15 @@
     platform::Vm vm;
     if( found != objects.end() && platform::readVm( found->second, vm ) &&
         vm.state == platform::VmState::leaving ) {
-        beginDrain( "the platform's list says that this VM is leaving" );
+        startDrain( "the platform's list says that this VM is leaving" );
     }
 }
 
-void Agent::beginDrain( std::string_view why ) {
+void Agent::startDrain( std::string_view why ) {
     if( !m_runner->draining() ) {
         m_runner->drain();
         log::info( "drain_begins", { { "reason", why } } );
-        m_reporter->changed( true );
+        m_reporter->scheduleReport( true );
     }
 }
 
@@ -357,7 +358,7 @@
     m_kernel.start();
     log::info( "ready", { { "incarnation", m_incarnation } } );
     waitForStopSignal();
-    beginDrain( "stop signal" );
+    startDrain( "stop signal" );
     daemon::waitUntilIdle( m_settings, m_clock, [this] { return m_runner->inFlight(); } );
     m_kernel.stop();
     return daemon::exitOk;
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -7,7 +7,7 @@
 
 namespace coursehead::agent {
 
-//! The role `coursehead agent`: stands beside one upstream; returns the process's exit code.
+//! Runs the role `coursehead agent` for one upstream; returns the process's exit code.
 int runAgent( std::span<const std::string> arguments );
 
 } // namespace coursehead::agent
--- a/src/agent/claim_service.cpp
+++ b/src/agent/claim_service.cpp
@@ -4,11 +4,11 @@
 namespace coursehead::agent {
 
 namespace {
-constexpr Millis requestPatience{ 5000 };
+constexpr Millis requestTimeout{ 5000 };
 } // namespace
 
 void ClaimService::serve( peer::Stream& stream ) {
-    const auto got = stream.receive( m_clock.now() + requestPatience );
+    const auto got = stream.receive( m_clock.now() + requestTimeout );
     if( got.status != peer::ReceiveStatus::frame ) {
         return;
     }
@@ -22,20 +22,20 @@
         const std::lock_guard lock( m_mutex );
         answer = claims::answer( m_table, *request, m_rules, m_clock.wall() );
     }
-    stream.send( encode( answer ), m_clock.now() + requestPatience );
+    stream.send( encode( answer ), m_clock.now() + requestTimeout );
     stream.finish();
 }
 
 void ClaimService::update( const config::State& state ) {
     const std::lock_guard lock( m_mutex );
-    // Two revisions may be announced out of order by two threads.
+    // Two threads may deliver two revisions out of order.
     if( state.revision > m_revision ) {
         m_revision = state.revision;
         claims::updateOwnership( m_table, state, m_vm, m_clock.wall() );
     }
 }
 
-void ClaimService::tidy() {
+void ClaimService::removeExpired() {
     const std::lock_guard lock( m_mutex );
     claims::forget( m_table, m_rules, m_clock.wall() );
 }
--- a/src/agent/claim_service.hpp
+++ b/src/agent/claim_service.hpp
@@ -10,7 +10,7 @@
 
 namespace coursehead::agent {
 
-//! Answers claims of the slots that this agent owns.
+//! Answers idempotency-key claims for the claim slots that this agent owns.
 class ClaimService {
 public:
     ClaimService( std::string vm, claims::ClaimRules rules, const Clock& clock )
@@ -18,9 +18,9 @@
 
     //! Serves a stream on peer::claimPath.
     void serve( peer::Stream& stream );
-    //! Takes over and gives up slots as a new configuration says.
+    //! Acquires and releases slots according to a new configuration.
     void update( const config::State& state );
-    void tidy();
+    void removeExpired();
     std::size_t records() const;
 
 private:
--- a/src/agent/places.cpp
+++ b/src/agent/places.cpp
@@ -6,41 +6,41 @@
 namespace coursehead::agent {
 
 namespace {
-//! How often a request in line looks whether it is still wanted.
-constexpr Millis lookInterval{ 200 };
+//! How often a queued request checks whether its caller has abandoned it.
+constexpr Millis abandonCheckInterval{ 200 };
 } // namespace
 
-router::Admission Places::admit( int priority, Millis patience ) const {
+router::Admission Places::admit( int priority, Millis maxWait ) const {
     const std::lock_guard lock( m_mutex );
-    const router::QueueView view{ m_running, static_cast<std::uint32_t>( m_line.size() ),
+    const router::QueueView view{ m_running, static_cast<std::uint32_t>( m_queue.size() ),
                                   m_capacity, m_queueLimit, m_serviceTime };
-    return router::admit( view, priority, patience );
+    return router::admit( view, priority, maxWait );
 }
 
 bool Places::acquire( int priority, MonoTime deadline, const std::function<bool()>& abandoned ) {
     std::unique_lock lock( m_mutex );
-    const Ticket mine{ priority, m_nextTicket++ };
-    const auto at = m_line.insert( mine ).first;
-    const auto myTurn = [&] {
-        return m_running < m_capacity && m_line.begin() == at;
+    const Ticket ticket{ priority, m_nextTicket++ };
+    const auto position = m_queue.insert( ticket ).first;
+    const auto isNext = [&] {
+        return m_running < m_capacity && m_queue.begin() == position;
     };
-    bool got = myTurn();
-    while( !got && MonoClock::now() < deadline && !abandoned() ) {
-        const auto limit = std::min( deadline, MonoClock::now() + lookInterval );
-        got = m_changed.wait_until( lock, limit, myTurn );
+    bool acquired = isNext();
+    while( !acquired && MonoClock::now() < deadline && !abandoned() ) {
+        const auto limit = std::min( deadline, MonoClock::now() + abandonCheckInterval );
+        acquired = m_changed.wait_until( lock, limit, isNext );
     }
-    m_line.erase( at );
-    if( got ) {
+    m_queue.erase( position );
+    if( acquired ) {
         ++m_running;
     }
     m_changed.notify_all();
-    return got;
+    return acquired;
 }
 
-void Places::release( Millis held ) {
+void Places::release( Millis heldTime ) {
     const std::lock_guard lock( m_mutex );
     --m_running;
-    m_serviceTime = router::smooth( m_serviceTime, held );
+    m_serviceTime = router::smooth( m_serviceTime, heldTime );
     m_changed.notify_all();
 }
 
@@ -51,7 +51,7 @@
 
 std::uint32_t Places::queued() const {
     const std::lock_guard lock( m_mutex );
-    return static_cast<std::uint32_t>( m_line.size() );
+    return static_cast<std::uint32_t>( m_queue.size() );
 }
 
 Millis Places::serviceTime() const {
--- a/src/agent/places.hpp
+++ b/src/agent/places.hpp
@@ -11,18 +11,18 @@
 
 namespace coursehead::agent {
 
-//! The upstream's places for parallel requests, with a bounded queue by priority.
+//! Limits the upstream's concurrent requests; further requests wait in a bounded priority queue.
 class Places {
 public:
     Places( std::uint32_t capacity, std::uint32_t queueLimit )
         : m_capacity( capacity ), m_queueLimit( queueLimit ) {}
 
-    //! Whether a request may join now; does not take a place.
-    router::Admission admit( int priority, Millis patience ) const;
-    //! Waits in line for a place until the deadline, or until `abandoned` says so.
+    //! Decides whether a request may join the queue now; does not take a place.
+    router::Admission admit( int priority, Millis maxWait ) const;
+    //! Waits in the queue for a place until the deadline, or until `abandoned` returns true.
     bool acquire( int priority, MonoTime deadline, const std::function<bool()>& abandoned );
-    //! Gives the place back after `held`.
-    void release( Millis held );
+    //! Releases a place that was held for `heldTime`.
+    void release( Millis heldTime );
 
     std::uint32_t running() const;
     std::uint32_t queued() const;
@@ -30,7 +30,7 @@
     Millis serviceTime() const;
 
 private:
-    //! A request in line: higher priority first, then first come.
+    //! A queued request; ordered by descending priority, then by arrival.
     struct Ticket {
         int priority = 0;
         std::uint64_t number = 0;
@@ -43,7 +43,7 @@
     std::uint32_t m_queueLimit;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::set<Ticket> m_line;
+    std::set<Ticket> m_queue;
     std::uint64_t m_nextTicket = 0;
     std::uint32_t m_running = 0;
     Millis m_serviceTime{ 0 };
--- a/src/agent/reporter.cpp
+++ b/src/agent/reporter.cpp
@@ -7,10 +7,10 @@
 
 namespace coursehead::agent {
 
-Reporter::Reporter( ReporterSettings settings, config::Replica& replica, StatusMaker status,
-                    PlanTaker plans, const Clock& clock )
-    : m_settings( settings ), m_replica( replica ), m_status( std::move( status ) ),
-      m_plans( std::move( plans ) ), m_clock( clock ) {}
+Reporter::Reporter( ReporterSettings settings, config::Replica& replica, StatusProvider status,
+                    PlanHandler plans, const Clock& clock )
+    : m_settings( settings ), m_replica( replica ), m_makeStatus( std::move( status ) ),
+      m_handlePlan( std::move( plans ) ), m_clock( clock ) {}
 
 Reporter::~Reporter() {
     stop();
@@ -36,20 +36,20 @@
 void Reporter::add( std::shared_ptr<peer::Stream> stream ) {
     stream->listen( [this] {
         const std::lock_guard lock( m_mutex );
-        m_readable = true;
+        m_messagePending = true;
         m_wakeup.notify_all();
     } );
     const std::lock_guard lock( m_mutex );
     m_streams.push_back( std::move( stream ) );
-    m_readable = true;
+    m_messagePending = true;
     m_urgent = true;
-    m_fullWanted = true;
+    m_fullReportPending = true;
     m_wakeup.notify_all();
 }
 
-void Reporter::changed( bool urgent ) {
+void Reporter::scheduleReport( bool urgent ) {
     const std::lock_guard lock( m_mutex );
-    m_dirty = true;
+    m_loadChanged = true;
     m_urgent = m_urgent || urgent;
     m_wakeup.notify_all();
 }
@@ -64,18 +64,21 @@
         bool due = false;
         {
             std::unique_lock lock( m_mutex );
-            const auto next = m_lastReport + ( m_dirty ? m_settings.least : m_settings.drift );
+            const auto next = m_lastReport + ( m_loadChanged ? m_settings.minReportInterval
+                                                             : m_settings.smallChangeInterval );
             m_wakeup.wait_until( lock, next, [this, next] {
-                return m_stopping || m_readable || m_urgent || ( m_dirty && m_clock.now() >= next );
+                return m_stopping || m_messagePending || m_urgent ||
+                       ( m_loadChanged && m_clock.now() >= next );
             } );
             if( m_stopping ) {
                 return;
             }
-            const auto wait = m_dirty ? m_settings.least : m_settings.drift;
+            const auto wait =
+                m_loadChanged ? m_settings.minReportInterval : m_settings.smallChangeInterval;
             due = m_urgent || m_clock.now() >= m_lastReport + wait;
-            m_readable = false;
+            m_messagePending = false;
             if( due ) {
-                m_dirty = false;
+                m_loadChanged = false;
                 m_urgent = false;
             }
         }
@@ -99,61 +102,64 @@
             if( got.status != peer::ReceiveStatus::frame ) {
                 break;
             }
-            take( *it, got.frame );
+            handleMessage( *it, got.frame );
         }
     }
 }
 
-void Reporter::take( peer::Stream& stream, const std::string& frame ) {
+void Reporter::handleMessage( peer::Stream& stream, const std::string& frame ) {
     const auto decoded = peer::decode( frame );
     if( !decoded.ok ) {
         log::warn( "control_message_malformed", { { "detail", decoded.error.detail } } );
         stream.cancel();
         return;
     }
-    if( const auto* news = std::get_if<peer::ConfigNews>( &decoded.message ) ) {
-        if( m_replica.offer( *news ) ) {
+    if( const auto* update = std::get_if<peer::ConfigNews>( &decoded.message ) ) {
+        if( m_replica.offer( *update ) ) {
             log::info( "config_adopted",
-                       { { "revision", static_cast<std::int64_t>( news->revision ) },
+                       { { "revision", static_cast<std::int64_t>( update->revision ) },
                          { "source", "peer" } } );
         }
-    } else if( const auto* ask = std::get_if<peer::ConfigAsk>( &decoded.message ) ) {
-        if( auto answer = m_replica.newsFor( ask->revision ) ) {
+    } else if( const auto* request = std::get_if<peer::ConfigAsk>( &decoded.message ) ) {
+        if( auto answer = m_replica.newsFor( request->revision ) ) {
             stream.trySend( encode( std::move( *answer ) ) );
         }
     } else if( const auto* plan = std::get_if<peer::PlanTargets>( &decoded.message ) ) {
-        m_plans( *plan );
+        m_handlePlan( *plan );
     }
 }
 
-//! True when the load has moved enough, or has been different for long enough.
-bool Reporter::worthReporting( const peer::AgentStatus& status, MonoTime now ) const {
+//! True when the load has changed by `loadStep`, when a smaller change or demand has been pending
+//! for `smallChangeInterval`, or when the configuration revision has changed.
+bool Reporter::isLoadReportDue( const peer::AgentStatus& status, MonoTime now ) const {
     const auto load = status.running + status.queued;
-    const auto moved = load > m_lastLoad ? load - m_lastLoad : m_lastLoad - load;
-    const bool drifted = ( moved > 0 || !m_demand.empty() ) && now - m_lastSent >= m_settings.drift;
-    return moved >= m_settings.loadStep || drifted || status.revision != m_lastRevision;
+    const auto loadChange = load > m_lastLoad ? load - m_lastLoad : m_lastLoad - load;
+    const bool smallChangeDue = ( loadChange > 0 || !m_demand.empty() ) &&
+                                now - m_lastSent >= m_settings.smallChangeInterval;
+    return loadChange >= m_settings.loadStep || smallChangeDue || status.revision != m_lastRevision;
 }
 
-//! A full report when its shape has changed or is due, the load alone when that is worth it, empty
-//! otherwise.
-std::string Reporter::reportBytes() {
-    auto status = m_status();
-    auto shape = status;
-    shape.running = 0;
-    shape.queued = 0;
-    shape.serviceMs = 0;
-    shape.revision = 0;
-    shape.demand.clear();
-    auto shapeBytes = encode( std::move( shape ) );
+//! Encodes a full report when one is due or when anything except the load has changed, or else a
+//! load report when one is due. Returns an empty string when neither is due.
+std::string Reporter::encodeNextReport() {
+    auto status = m_makeStatus();
+    auto statusWithoutLoad = status;
+    statusWithoutLoad.running = 0;
+    statusWithoutLoad.queued = 0;
+    statusWithoutLoad.serviceMs = 0;
+    statusWithoutLoad.revision = 0;
+    statusWithoutLoad.demand.clear();
+    auto encodedWithoutLoad = encode( std::move( statusWithoutLoad ) );
     const auto now = m_clock.now();
     bool full = false;
     {
         const std::lock_guard lock( m_mutex );
-        full = m_fullWanted || shapeBytes != m_lastShape || now - m_lastFull >= m_settings.most;
-        m_fullWanted = false;
+        full = m_fullReportPending || encodedWithoutLoad != m_lastStatusWithoutLoad ||
+               now - m_lastFull >= m_settings.fullReportInterval;
+        m_fullReportPending = false;
     }
     m_demand.insert( m_demand.end(), status.demand.begin(), status.demand.end() );
-    if( !full && !worthReporting( status, now ) ) {
+    if( !full && !isLoadReportDue( status, now ) ) {
         return {};
     }
     status.sequence = ++m_sequence;
@@ -165,13 +171,13 @@
         return encode( peer::LoadReport{ status.sequence, status.running, status.queued,
                                          status.revision, status.demand } );
     }
-    m_lastShape = std::move( shapeBytes );
+    m_lastStatusWithoutLoad = std::move( encodedWithoutLoad );
     m_lastFull = now;
     return encode( std::move( status ) );
 }
 
 void Reporter::report() {
-    const auto bytes = reportBytes();
+    const auto bytes = encodeNextReport();
     std::vector<std::shared_ptr<peer::Stream>> streams;
     {
         const std::lock_guard lock( m_mutex );
--- a/src/agent/reporter.hpp
+++ b/src/agent/reporter.hpp
@@ -16,50 +16,51 @@
 namespace coursehead::agent {
 
 struct ReporterSettings {
-    Millis least{ 1000 };       //!< between two reports of load alone
-    Millis most{ 60000 };       //!< between two full reports
-    Millis drift{ 5000 };       //!< between two reports of load that changed a little
-    std::uint32_t loadStep = 1; //!< a change of load that is reported after `least`
+    Millis minReportInterval{ 1000 };   //!< shortest time between two load reports
+    Millis fullReportInterval{ 60000 }; //!< longest time between two full reports
+    Millis smallChangeInterval{ 5000 }; //!< time between reports of load changes below `loadStep`
+    std::uint32_t loadStep = 1; //!< smallest load change that is reported after `minReportInterval`
 };
 
-//! The agent's side of the control streams: reports out, configuration both ways, plans in.
+//! The agent's side of the control streams: sends reports, exchanges configuration with entries,
+//! and receives plans.
 class Reporter {
 public:
-    using StatusMaker = std::function<peer::AgentStatus()>;
-    using PlanTaker = std::function<void( const peer::PlanTargets& plan )>;
+    using StatusProvider = std::function<peer::AgentStatus()>;
+    using PlanHandler = std::function<void( const peer::PlanTargets& plan )>;
 
-    Reporter( ReporterSettings settings, config::Replica& replica, StatusMaker status,
-              PlanTaker plans, const Clock& clock );
+    Reporter( ReporterSettings settings, config::Replica& replica, StatusProvider status,
+              PlanHandler plans, const Clock& clock );
     ~Reporter();
     Reporter( const Reporter& ) = delete;
     Reporter& operator=( const Reporter& ) = delete;
 
     void start();
     void stop();
-    //! Takes a stream on peer::controlPath.
+    //! Adds a stream on peer::controlPath.
     void add( std::shared_ptr<peer::Stream> stream );
-    //! Says that the load has changed, or (urgent) something that must be known at once.
-    void changed( bool urgent = false );
+    //! Schedules a report after a load change; `urgent` reports another change without delay.
+    void scheduleReport( bool urgent = false );
     std::size_t streams() const;
 
 private:
     void run();
     void readAll();
-    void take( peer::Stream& stream, const std::string& frame );
+    void handleMessage( peer::Stream& stream, const std::string& frame );
     void report();
-    std::string reportBytes();
-    bool worthReporting( const peer::AgentStatus& status, MonoTime now ) const;
+    std::string encodeNextReport();
+    bool isLoadReportDue( const peer::AgentStatus& status, MonoTime now ) const;
 
     ReporterSettings m_settings;
     config::Replica& m_replica;
-    StatusMaker m_status;
-    PlanTaker m_plans;
+    StatusProvider m_makeStatus;
+    PlanHandler m_handlePlan;
     const Clock& m_clock;
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeup;
     std::vector<std::shared_ptr<peer::Stream>> m_streams;
-    bool m_readable = false;
-    bool m_dirty = true;
+    bool m_messagePending = false;
+    bool m_loadChanged = true;
     bool m_urgent = false;
     bool m_stopping = false;
     std::uint64_t m_sequence = 0;
@@ -67,10 +68,10 @@
     MonoTime m_lastFull;
     std::uint32_t m_lastLoad = 0;
     std::uint64_t m_lastRevision = 0;
-    std::vector<peer::ModelDemand> m_demand; //!< seen since the last report that was sent
+    std::vector<peer::ModelDemand> m_demand; //!< arrivals since the last report that was sent
     MonoTime m_lastSent;
-    std::string m_lastShape; //!< the last full report without its load
-    bool m_fullWanted = true;
+    std::string m_lastStatusWithoutLoad; //!< the last full report, encoded without its load
+    bool m_fullReportPending = true;
     std::thread m_thread;
 };
 
--- a/src/agent/residency.cpp
+++ b/src/agent/residency.cpp
@@ -22,9 +22,9 @@
 
 constexpr Millis retryPause{ 500 };
 constexpr Millis idlePause{ 200 };
-constexpr Millis lookInterval{ 200 };
+constexpr Millis abandonCheckInterval{ 200 };
 
-std::string_view outcomeWord( OrderOutcome outcome ) {
+std::string_view outcomeName( OrderOutcome outcome ) {
     switch( outcome ) {
     case OrderOutcome::done:
         return "done";
@@ -48,7 +48,7 @@
     return ledger::OrderResult::unknown;
 }
 
-std::string itemWord( const Item& item ) {
+std::string itemLabel( const Item& item ) {
     return ( item.kind == ItemKind::model ? "model/" : "adapter/" ) + item.name + "@" +
            item.version;
 }
@@ -66,7 +66,7 @@
 Residency::Residency( ResidencySettings settings, const platform::ObjectStore& store,
                       config::Replica& replica, metrics::Metrics& metrics, const Clock& clock )
     : m_settings( std::move( settings ) ), m_store( store ), m_replica( replica ),
-      m_metrics( metrics ), m_clock( clock ), m_began( clock.now() ) {}
+      m_metrics( metrics ), m_clock( clock ), m_startedAt( clock.now() ) {}
 
 Residency::~Residency() {
     stop();
@@ -95,12 +95,12 @@
 
 bool Residency::pause( Millis length ) {
     std::unique_lock lock( m_mutex );
-    m_wakeup.wait_for( lock, length, [this] { return m_stopping || m_work; } );
-    m_work = false;
+    m_wakeup.wait_for( lock, length, [this] { return m_stopping || m_workPending; } );
+    m_workPending = false;
     return !m_stopping;
 }
 
-void Residency::changed() {
+void Residency::notifyChange() {
     m_progress.notify_all();
     if( m_listener ) {
         m_listener();
@@ -113,7 +113,7 @@
 
 void Residency::configChanged() {
     const std::lock_guard lock( m_mutex );
-    m_work = true;
+    m_workPending = true;
     m_wakeup.notify_all();
 }
 
@@ -124,7 +124,7 @@
         pause( retryPause );
     }
     while( !stopping() ) {
-        carryOut( nextInstruction() );
+        perform( nextInstruction() );
     }
 }
 
@@ -139,7 +139,7 @@
     m_protocol.checksOrders = found->checksOrders;
     m_protocol.lateness = Millis( found->checksOrders ? 0 : found->orderLatenessMs );
     m_protocol.reportInterval = m_settings.statusInterval;
-    m_protocol.began = m_began;
+    m_protocol.began = m_startedAt;
     return true;
 }
 
@@ -158,10 +158,10 @@
     return out;
 }
 
-void Residency::carryOut( const ledger::Instruction& instruction ) {
+void Residency::perform( const ledger::Instruction& instruction ) {
     switch( instruction.kind ) {
     case ledger::InstructionKind::takeEpoch:
-        // Without an epoch we serve what is resident and give no orders.
+        // Without an epoch the agent serves the resident items and sends no orders.
         readReport();
         if( !takeEpoch() ) {
             pause( retryPause );
@@ -202,7 +202,7 @@
                            absent ? 0 : got.value.version, "" };
     const auto spec = nlohmann::json::parse( got.value.spec, nullptr, false );
     const auto epoch = spec.is_object() ? spec.value( "epoch", std::uint64_t{ 0 } ) + 1 : 1;
-    // After a write whose answer was lost we simply take the next epoch.
+    // If the answer to this write is lost, the next try takes the epoch after it.
     next.spec = nlohmann::json{ { "epoch", epoch } }.dump();
     const auto wrote = platform::attempt(
         [&] { return absent ? m_store.create( next ) : m_store.update( next ); } );
@@ -223,7 +223,7 @@
     }
     const auto outcome = engine::sendFence( m_settings.endpoint, token );
     if( outcome == OrderOutcome::refused ) {
-        // Somebody holds a higher token: take a higher epoch.
+        // Another agent process has used a higher fencing token: take a higher epoch.
         const std::lock_guard lock( m_mutex );
         m_protocol.epoch = 0;
     }
@@ -244,7 +244,7 @@
         const std::lock_guard lock( m_mutex );
         ledger::reportRead( m_protocol, report.items, m_clock.now() );
     }
-    changed();
+    notifyChange();
     return true;
 }
 
@@ -256,18 +256,18 @@
     }
     const bool load = order.action == ledger::OrderAction::load;
     m_metrics.count( "moves", load ? "load" : "unload" );
-    changed();
+    notifyChange();
     const auto sentAt = m_clock.now();
     const auto outcome = engine::sendOrder( m_settings.endpoint, token, order );
     log::info( "order", { { "action", load ? "load" : "unload" },
-                          { "item", itemWord( order.footprint.item ) },
+                          { "item", itemLabel( order.footprint.item ) },
                           { "number", static_cast<std::int64_t>( order.number ) },
-                          { "outcome", outcomeWord( outcome ) } } );
+                          { "outcome", outcomeName( outcome ) } } );
     {
         const std::lock_guard lock( m_mutex );
         ledger::orderEnded( m_protocol, order.number, resultOf( outcome ), sentAt );
     }
-    changed();
+    notifyChange();
     if( outcome == OrderOutcome::refused ) {
         pause( retryPause );
     }
@@ -275,7 +275,7 @@
 
 std::vector<ledger::Usage> Residency::usage() const {
     std::vector<ledger::Usage> out;
-    for( const auto& [item, use] : m_use ) {
+    for( const auto& [item, use] : m_itemUse ) {
         out.push_back( { item, use.running, 0, use.lastUsed } );
     }
     return out;
@@ -304,8 +304,8 @@
     return out;
 }
 
-//! Chooses busy items that have to go. Only a plan can say that an item is not wanted, or that it
-//! has copies elsewhere: without one nothing retires.
+//! Chooses the busy items to unload. Only a plan tells whether an item is unwanted or has copies on
+//! other agents, so no item is retired before the first plan arrives.
 void Residency::chooseRetiring( std::span<const ledger::Wanted> wanted,
                                 const ledger::StepRules& rules ) {
     m_retiring.clear();
@@ -318,7 +318,7 @@
     return std::find( m_retiring.begin(), m_retiring.end(), item ) != m_retiring.end();
 }
 
-//! Notes which waiting targets neither have room nor anything that could make room.
+//! Marks the waiting targets that lack free memory while no item is being retired to free some.
 void Residency::markBlocked() {
     for( auto& [target, waiting] : m_waiting ) {
         if( !findPin( target ) && !waiting.blocked && m_retiring.empty() ) {
@@ -376,17 +376,17 @@
             return ReadyStatus::impossible;
         }
         ++m_waiting[target].count;
-        m_work = true;
+        m_workPending = true;
         m_wakeup.notify_all();
     }
     const bool waited = !found;
     bool blocked = false;
     while( !found && !blocked && !m_stopping && !abandoned() && m_clock.now() < deadline ) {
-        m_progress.wait_for( lock, lookInterval );
+        m_progress.wait_for( lock, abandonCheckInterval );
         found = findPin( target );
         const auto& waiting = m_waiting[target];
         blocked =
-            waiting.blocked && m_clock.now() - waiting.blockedSince > m_settings.blockedPatience;
+            waiting.blocked && m_clock.now() - waiting.blockedSince > m_settings.blockedTimeout;
     }
     if( waited && --m_waiting[target].count == 0 ) {
         m_waiting.erase( target );
@@ -394,14 +394,14 @@
     if( !found ) {
         return blocked ? ReadyStatus::impossible : ReadyStatus::timeout;
     }
-    const auto use = [this]( const Item& item ) {
-        auto& it = m_use[item];
+    const auto addUse = [this]( const Item& item ) {
+        auto& it = m_itemUse[item];
         ++it.running;
         it.lastUsed = m_clock.now();
     };
-    use( found->model );
+    addUse( found->model );
     if( found->adapter ) {
-        use( *found->adapter );
+        addUse( *found->adapter );
     }
     out = *found;
     return ReadyStatus::ready;
@@ -409,16 +409,16 @@
 
 void Residency::unpin( const Pin& pin ) {
     const std::lock_guard lock( m_mutex );
-    const auto drop = [this]( const Item& item ) {
-        auto& it = m_use[item];
+    const auto removeUse = [this]( const Item& item ) {
+        auto& it = m_itemUse[item];
         --it.running;
         it.lastUsed = m_clock.now();
     };
-    drop( pin.model );
+    removeUse( pin.model );
     if( pin.adapter ) {
-        drop( *pin.adapter );
+        removeUse( *pin.adapter );
     }
-    m_work = m_work || !m_waiting.empty();
+    m_workPending = m_workPending || !m_waiting.empty();
     m_wakeup.notify_all();
 }
 
@@ -431,7 +431,7 @@
         return;
     }
     m_plan = plan;
-    m_work = true;
+    m_workPending = true;
     m_wakeup.notify_all();
 }
 
@@ -442,8 +442,9 @@
     std::vector<peer::ResidentItem> out;
     for( const auto& it : m_protocol.ledger.charges ) {
         const auto& item = it.footprint.item;
-        const bool coming = it.state == ChargeState::loading || it.state == ChargeState::unknown;
-        if( it.state == ChargeState::resident || coming ) {
+        const bool loadingNow =
+            it.state == ChargeState::loading || it.state == ChargeState::unknown;
+        if( it.state == ChargeState::resident || loadingNow ) {
             out.push_back( { item.kind == ItemKind::model ? "model" : "adapter", item.name,
                              item.version,
                              it.state == ChargeState::resident && !isRetiring( item ) } );
--- a/src/agent/residency.hpp
+++ b/src/agent/residency.hpp
@@ -15,7 +15,8 @@
 #include <set>
 #include <thread>
 
-//! What is resident on the runner beside us: the ledger, and the one thread that gives orders.
+//! Residency of models and adapters on the agent's runner: the ledger, and the one thread that
+//! sends orders to the engine.
 namespace coursehead::agent {
 
 struct ResidencySettings {
@@ -23,11 +24,11 @@
     std::string upstream; //!< the upstream's name in the configuration
     engine::Endpoint endpoint;
     Millis minResidency{ 10000 };
-    Millis statusInterval{ 5000 };  //!< how often the engine's own report is compared
-    Millis blockedPatience{ 1000 }; //!< how long a load without room is waited for
+    Millis statusInterval{ 5000 }; //!< time between comparisons with the engine's own report
+    Millis blockedTimeout{ 1000 }; //!< longest wait for a load that lacks free memory
 };
 
-//! A target held in place for a request; see pin().
+//! The items that a request keeps resident; see pin().
 struct Pin {
     ledger::Item model;
     std::optional<ledger::Item> adapter;
@@ -35,13 +36,13 @@
 
 enum class ReadyStatus {
     ready,
-    impossible, //!< it can't be loaded here now: no orders may be given, or nothing can make room
+    impossible, //!< no load is possible now: orders aren't allowed, or no memory can be freed
     timeout,
 };
 
 /**
- * Holds the ledger. Orders are given only under an epoch that was taken in the platform's store
- * and only by this class's thread, one at a time.
+ * Holds the ledger. Only this class's thread sends orders, one at a time, and only under an epoch
+ * that it has taken in the platform's store.
  */
 class Residency {
 public:
@@ -58,10 +59,11 @@
     ReadyStatus pin( const peer::Target& target, MonoTime deadline,
                      const std::function<bool()>& abandoned, Pin& out );
     void unpin( const Pin& pin );
-    //! True when the target could be run here now without loading.
+    //! True when the target can run on this upstream now without a load.
     bool resident( const peer::Target& target ) const;
 
-    //! Takes a planner's targets; older epochs and repeated sequences are dropped.
+    //! Applies a planner's targets; drops older epochs and, within an epoch, old or repeated
+    //! sequence numbers.
     void setPlan( const peer::PlanTargets& plan );
     void configChanged();
     //! Called whenever the set of items changes. Set before start().
@@ -73,12 +75,12 @@
     bool mayOrder() const;
 
 private:
-    struct Waiting {
+    struct WaitingRequests {
         std::uint32_t count = 0;
         bool blocked = false;
         MonoTime blockedSince;
     };
-    struct Use {
+    struct ItemUse {
         std::uint32_t running = 0;
         MonoTime lastUsed;
     };
@@ -92,7 +94,7 @@
     void run();
     bool findUpstream();
     ledger::Instruction nextInstruction();
-    void carryOut( const ledger::Instruction& instruction );
+    void perform( const ledger::Instruction& instruction );
     bool takeEpoch();
     bool fence( ledger::OrderNumber number );
     bool readReport();
@@ -106,24 +108,24 @@
     std::optional<Pin> findPin( const peer::Target& target ) const;
     bool pause( Millis length );
     bool stopping() const;
-    void changed();
+    void notifyChange();
 
     ResidencySettings m_settings;
     const platform::ObjectStore& m_store;
     config::Replica& m_replica;
     metrics::Metrics& m_metrics;
     const Clock& m_clock;
-    MonoTime m_began;
+    MonoTime m_startedAt;
     std::function<void()> m_listener;
 
     mutable std::mutex m_mutex;
-    std::condition_variable m_wakeup;   //!< for the order thread
-    std::condition_variable m_progress; //!< for requests that wait
+    std::condition_variable m_wakeup;   //!< wakes the order thread
+    std::condition_variable m_progress; //!< wakes the requests that wait for residency
     ledger::OrderProtocol m_protocol;
     bool m_stopping = false;
-    bool m_work = false;
-    std::map<ledger::Item, Use, ItemLess> m_use;
-    std::map<peer::Target, Waiting, TargetLess> m_waiting;
+    bool m_workPending = false;
+    std::map<ledger::Item, ItemUse, ItemLess> m_itemUse;
+    std::map<peer::Target, WaitingRequests, TargetLess> m_waiting;
     peer::PlanTargets m_plan;
     std::vector<ledger::Item> m_retiring; //!< busy items that take no new requests
     std::thread m_thread;
--- a/src/agent/runner.cpp
+++ b/src/agent/runner.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr Millis requestPatience{ 5000 };
-constexpr Millis writePatience{ 15000 };
-constexpr Millis comeBackSoon{ 1000 };
-constexpr Millis comeBackCold{ 3000 };
+constexpr Millis requestTimeout{ 5000 };
+constexpr Millis writeTimeout{ 15000 };
+constexpr Millis shortRetryAfter{ 1000 };
+constexpr Millis coldLoadRetryAfter{ 3000 };
 
-//! Reads the one message that opens a stream; empty when it is not of that type.
+//! Receives the first message of a stream; empty when none arrives in time or its type isn't T.
 template <typename T>
-std::optional<T> readFirst( peer::Stream& stream, const Clock& clock ) {
-    const auto got = stream.receive( clock.now() + requestPatience );
+std::optional<T> receiveRequest( peer::Stream& stream, const Clock& clock ) {
+    const auto got = stream.receive( clock.now() + requestTimeout );
     if( got.status != ReceiveStatus::frame ) {
         return std::nullopt;
     }
@@ -33,7 +33,7 @@
     return std::get<T>( std::move( decoded.message ) );
 }
 
-AttemptId idOf( const peer::RunRequest& request ) {
+AttemptId attemptIdOf( const peer::RunRequest& request ) {
     return { request.requestId, request.attempt };
 }
 
@@ -57,15 +57,15 @@
     return out;
 }
 
-void Runner::tidy() {
+void Runner::removeExpired() {
     const auto now = m_context.clock.now();
-    m_context.sessions.forget( now );
+    m_context.sessions.removeExpired( now );
     const std::lock_guard lock( m_mutex );
-    claims::forget( m_attempts, now, m_settings.attemptsKept );
+    claims::forget( m_attempts, now, m_settings.attemptRetention );
 }
 
 void Runner::run( std::shared_ptr<peer::Stream> stream ) {
-    auto request = readFirst<peer::RunRequest>( *stream, m_context.clock );
+    auto request = receiveRequest<peer::RunRequest>( *stream, m_context.clock );
     if( !request ) {
         return;
     }
@@ -74,20 +74,21 @@
         m_context.clock.now() + Millis( std::max<std::int64_t>( request->deadlineMs, 0 ) );
     job.request = std::move( *request );
     job.stream = std::move( stream );
-    // Counted before the check, so that a stop that begins now sees the request or refuses it.
+    // Count the request before the check, so that a drain that starts now either waits for the
+    // request or refuses it.
     ++m_inFlight;
-    const auto reason = screen( job.request );
+    const auto reason = refusalReason( job.request );
     if( reason.empty() ) {
         countDemand( job.request );
         serve( job );
     } else {
-        refuse( job, reason, comeBackSoon );
+        refuse( job, reason, shortRetryAfter );
     }
     --m_inFlight;
 }
 
-//! Why the request can't be taken at all; empty when it can.
-std::string Runner::screen( const peer::RunRequest& request ) const {
+//! Returns why this agent can't accept the request; empty when it can.
+std::string Runner::refusalReason( const peer::RunRequest& request ) const {
     if( m_draining ) {
         return "draining";
     }
@@ -103,13 +104,13 @@
 
 void Runner::refuse( Job& job, std::string reason, Millis retryAfter ) {
     {
-        // From now on this attempt is barred: a late copy of it must not start.
+        // Bar this attempt: a late copy of it must not start.
         const std::lock_guard lock( m_mutex );
-        claims::bar( m_attempts, idOf( job.request ), m_context.clock.now() );
+        claims::bar( m_attempts, attemptIdOf( job.request ), m_context.clock.now() );
     }
     m_context.metrics.count( "refused", reason );
     const peer::RunRefused out{ job.request.requestId, std::move( reason ), retryAfter.count() };
-    job.stream->send( encode( out ), m_context.clock.now() + writePatience );
+    job.stream->send( encode( out ), m_context.clock.now() + writeTimeout );
     job.stream->finish();
 }
 
@@ -122,43 +123,43 @@
         return;
     }
     const peer::RunAccepted accepted{ job.request.requestId, job.request.attempt };
-    job.stream->send( encode( accepted ), now + writePatience );
+    job.stream->send( encode( accepted ), now + writeTimeout );
     const auto abandoned = [&job] {
         return job.stream->ended();
     };
     if( m_context.residency == nullptr ) {
         if( !m_context.places.acquire( job.request.priority, job.deadline, abandoned ) ) {
-            refuse( job, "no place in time", comeBackSoon );
+            refuse( job, "no place in time", shortRetryAfter );
             return;
         }
         startAndRun( job, nullptr );
         return;
     }
     Pin pin;
-    const auto limit = std::min( job.deadline, now + m_settings.coldPatience );
+    const auto limit = std::min( job.deadline, now + m_settings.loadTimeout );
     const auto ready = m_context.residency->pin( job.request.target, limit, abandoned, pin );
     if( ready != ReadyStatus::ready ) {
         refuse( job, ready == ReadyStatus::impossible ? "no room to load it" : "not loaded in time",
-                comeBackCold );
+                coldLoadRetryAfter );
         return;
     }
     if( m_context.places.acquire( job.request.priority, job.deadline, abandoned ) ) {
         startAndRun( job, &pin );
     } else {
-        refuse( job, "no place in time", comeBackSoon );
+        refuse( job, "no place in time", shortRetryAfter );
     }
     m_context.residency->unpin( pin );
 }
 
 void Runner::startAndRun( Job& job, const Pin* pin ) {
-    const auto began = m_context.clock.now();
+    const auto startedAt = m_context.clock.now();
     bool mayStart = false;
     {
         const std::lock_guard lock( m_mutex );
-        mayStart = claims::start( m_attempts, idOf( job.request ), began );
+        mayStart = claims::start( m_attempts, attemptIdOf( job.request ), startedAt );
     }
     if( !mayStart ) {
-        refuse( job, "barred", comeBackSoon );
+        refuse( job, "barred", shortRetryAfter );
     } else {
         job.session = m_context.sessions.create( job.request.requestId, job.request.prefix );
         if( pin != nullptr ) {
@@ -167,7 +168,7 @@
             runService( job );
         }
     }
-    m_context.places.release( remaining( began, m_context.clock.now() ) );
+    m_context.places.release( remaining( startedAt, m_context.clock.now() ) );
 }
 
 void Runner::finish( Job& job, const peer::Message& end ) {
@@ -176,19 +177,19 @@
         const std::lock_guard lock( m_mutex );
         const auto* failed = std::get_if<peer::RunFailed>( &end );
         if( failed != nullptr && !failed->mayHaveRun ) {
-            claims::withdraw( m_attempts, idOf( job.request ), now );
+            claims::withdraw( m_attempts, attemptIdOf( job.request ), now );
         } else {
-            claims::finish( m_attempts, idOf( job.request ), now );
+            claims::finish( m_attempts, attemptIdOf( job.request ), now );
         }
     }
     job.session->touch( now );
     job.session->finish( end );
-    job.stream->send( encode( end ), now + writePatience );
+    job.stream->send( encode( end ), now + writeTimeout );
     job.stream->finish();
 }
 
-//! True when nobody has read the answer for so long that it is not worth going on.
-bool Runner::orphaned( Job& job ) {
+//! True when the answer has had no reader for longer than `orphanTimeout`.
+bool Runner::isOrphaned( Job& job ) {
     if( !job.stream->ended() || job.session->readers() > 0 ) {
         job.orphanedAt = MonoTime{};
         return false;
@@ -197,16 +198,16 @@
     if( job.orphanedAt == MonoTime{} ) {
         job.orphanedAt = now;
     }
-    return now - std::max( job.orphanedAt, job.session->changed() ) > m_settings.orphanPatience;
+    return now - std::max( job.orphanedAt, job.session->lastChangeAt() ) > m_settings.orphanTimeout;
 }
 
-bool Runner::passOn( Job& job, std::string_view text ) {
+bool Runner::forwardText( Job& job, std::string_view text ) {
     const auto offset = job.session->append( text );
     if( !job.stream->ended() ) {
         const peer::RunChunk chunk{ job.request.requestId, offset, std::string( text ) };
-        job.stream->send( encode( chunk ), m_context.clock.now() + writePatience );
+        job.stream->send( encode( chunk ), m_context.clock.now() + writeTimeout );
     }
-    return !orphaned( job );
+    return !isOrphaned( job );
 }
 
 engine::GenerationResult Runner::generateOnce( Job& job, const Pin& pin ) {
@@ -220,7 +221,7 @@
     generation.prefix = job.session->text();
     generation.priority = job.request.priority;
     return engine::generate( m_settings.endpoint, generation,
-                             [&]( std::string_view text ) { return passOn( job, text ); } );
+                             [&]( std::string_view text ) { return forwardText( job, text ); } );
 }
 
 void Runner::runModel( Job& job, const Pin& pin ) {
@@ -232,7 +233,8 @@
         if( result.crossed > 0 ) {
             m_context.metrics.count( "crossed_answers_dropped" );
         }
-        // A request that may not be repeated is not generated again, not even its rest.
+        // A request with an idempotency key runs at most once, so even the missing part of its
+        // answer isn't generated again.
         if( !cut || !job.request.key.empty() || n >= m_settings.localRetries ) {
             break;
         }
@@ -298,14 +300,14 @@
 }
 
 void Runner::join( peer::Stream& stream ) {
-    const auto request = readFirst<peer::JoinRequest>( stream, m_context.clock );
+    const auto request = receiveRequest<peer::JoinRequest>( stream, m_context.clock );
     if( !request ) {
         return;
     }
     const auto session = m_context.sessions.find( request->requestId );
     if( !session || request->offset > session->length() ) {
         const peer::RunRefused out{ request->requestId, "its text is not here", 0 };
-        stream.send( encode( out ), m_context.clock.now() + writePatience );
+        stream.send( encode( out ), m_context.clock.now() + writeTimeout );
         stream.finish();
         return;
     }
@@ -315,7 +317,7 @@
 }
 
 void Runner::bar( peer::Stream& stream ) {
-    const auto request = readFirst<peer::BarRequest>( stream, m_context.clock );
+    const auto request = receiveRequest<peer::BarRequest>( stream, m_context.clock );
     if( !request ) {
         return;
     }
@@ -326,7 +328,7 @@
         out.state = request->askOnly ? claims::look( m_attempts, id )
                                      : claims::bar( m_attempts, id, m_context.clock.now() );
     }
-    stream.send( encode( out ), m_context.clock.now() + writePatience );
+    stream.send( encode( out ), m_context.clock.now() + writeTimeout );
     stream.finish();
 }
 
--- a/src/agent/runner.hpp
+++ b/src/agent/runner.hpp
@@ -9,24 +9,24 @@
 
 #include <atomic>
 
-//! Runs requests on the upstream beside the agent.
+//! Runs requests on the agent's upstream.
 namespace coursehead::agent {
 
 enum class UpstreamKind { runner, service };
 
 struct RunnerSettings {
     UpstreamKind kind = UpstreamKind::runner;
-    std::string incarnation; //!< names this process
+    std::string incarnation; //!< identifies this agent process
     engine::Endpoint endpoint;
-    Millis coldPatience{ 20000 };   //!< the longest wait for a model to be loaded
-    Millis orphanPatience{ 5000 };  //!< how long an answer nobody reads goes on
-    Millis attemptsKept{ 600000 };  //!< how long attempts are remembered
-    std::uint32_t localRetries = 1; //!< times a cut generation is continued on the same engine
+    Millis loadTimeout{ 20000 };       //!< the longest wait for a model to be loaded
+    Millis orphanTimeout{ 5000 };      //!< how long an answer without a reader goes on
+    Millis attemptRetention{ 600000 }; //!< how long attempts are kept for barring
+    std::uint32_t localRetries = 1;    //!< continuations of a cut generation on the same engine
 };
 
-//! What the runner needs of its agent.
+//! The components of the agent that the runner uses.
 struct RunnerContext {
-    Residency* residency = nullptr; //!< nullptr beside a plain service
+    Residency* residency = nullptr; //!< nullptr if the upstream is a service
     Places& places;
     SessionTable& sessions;
     metrics::Metrics& metrics;
@@ -47,15 +47,15 @@
     //! Refuses new requests from now on.
     void drain() noexcept { m_draining = true; }
     bool draining() const noexcept { return m_draining; }
-    //! Requests in progress, queued ones too.
+    //! Requests in progress, including queued ones.
     std::uint32_t inFlight() const noexcept { return m_inFlight; }
-    //! Arrivals by model since the last call.
+    //! Returns the arrivals by model since the last call.
     std::vector<peer::ModelDemand> takeDemand();
-    //! Forgets old attempts and sessions.
-    void tidy();
+    //! Removes old attempts and sessions.
+    void removeExpired();
 
 private:
-    //! What one request needs while it runs.
+    //! The state of one request while it runs.
     struct Job {
         peer::RunRequest request;
         std::shared_ptr<peer::Stream> stream;
@@ -64,15 +64,15 @@
         std::shared_ptr<Session> session;
     };
 
-    std::string screen( const peer::RunRequest& request ) const;
+    std::string refusalReason( const peer::RunRequest& request ) const;
     void refuse( Job& job, std::string reason, Millis retryAfter );
     void serve( Job& job );
     void startAndRun( Job& job, const Pin* pin );
     void runModel( Job& job, const Pin& pin );
     void runService( Job& job );
     void finish( Job& job, const peer::Message& end );
-    bool passOn( Job& job, std::string_view text );
-    bool orphaned( Job& job );
+    bool forwardText( Job& job, std::string_view text );
+    bool isOrphaned( Job& job );
     engine::GenerationResult generateOnce( Job& job, const Pin& pin );
     void countDemand( const peer::RunRequest& request );
 
@@ -80,7 +80,7 @@
     RunnerContext m_context;
     std::atomic<bool> m_draining{ false };
     std::atomic<std::uint32_t> m_inFlight{ 0 };
-    std::mutex m_mutex; //!< guards the next two
+    std::mutex m_mutex; //!< guards m_attempts and m_demand
     claims::AttemptTable m_attempts;
     std::map<std::string, std::uint32_t> m_demand;
 };
--- a/src/agent/session.cpp
+++ b/src/agent/session.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-//! The longest a follower may keep us from writing to it.
-constexpr Millis writePatience{ 15000 };
-//! How often a follower that gets no text looks whether its reader is still there.
-constexpr Millis lookInterval{ 500 };
-constexpr std::size_t pieceBytes = 64U << 10U;
+//! Longest time that a write to a follower may block.
+constexpr Millis writeTimeout{ 15000 };
+//! How often follow() checks that its reader is still connected while no text arrives.
+constexpr Millis abandonCheckInterval{ 500 };
+constexpr std::size_t maxChunkBytes = 64U << 10U;
 
 } // namespace
 
@@ -20,7 +20,7 @@
     const std::lock_guard lock( m_mutex );
     const auto offset = m_text.size();
     m_text.append( text );
-    m_grown.notify_all();
+    m_textAdded.notify_all();
     return offset;
 }
 
@@ -29,7 +29,7 @@
     if( !m_end ) {
         m_end = std::move( end );
     }
-    m_grown.notify_all();
+    m_textAdded.notify_all();
 }
 
 bool Session::finished() const {
@@ -52,43 +52,43 @@
     return m_readers;
 }
 
-MonoTime Session::changed() const {
+MonoTime Session::lastChangeAt() const {
     const std::lock_guard lock( m_mutex );
-    return m_changed;
+    return m_lastChangeAt;
 }
 
 void Session::touch( MonoTime now ) {
     const std::lock_guard lock( m_mutex );
-    m_changed = now;
+    m_lastChangeAt = now;
 }
 
 bool Session::follow( peer::Stream& stream, std::uint64_t offset, const Clock& clock ) {
     std::unique_lock lock( m_mutex );
     ++m_readers;
     bool sent = true;
-    bool whole = false;
-    while( sent && !whole ) {
-        m_grown.wait_for( lock, lookInterval,
-                          [&] { return m_text.size() > offset || m_end.has_value(); } );
+    bool complete = false;
+    while( sent && !complete ) {
+        m_textAdded.wait_for( lock, abandonCheckInterval,
+                              [&] { return m_text.size() > offset || m_end.has_value(); } );
         peer::Message message;
         bool hasMessage = true;
         if( m_text.size() > offset ) {
-            peer::RunChunk chunk{ m_requestId, offset, m_text.substr( offset, pieceBytes ) };
+            peer::RunChunk chunk{ m_requestId, offset, m_text.substr( offset, maxChunkBytes ) };
             offset += chunk.text.size();
             message = std::move( chunk );
         } else if( m_end ) {
             message = *m_end;
-            whole = true;
+            complete = true;
         } else {
             hasMessage = false;
         }
         lock.unlock();
-        sent = hasMessage ? stream.send( encode( message ), clock.now() + writePatience )
+        sent = hasMessage ? stream.send( encode( message ), clock.now() + writeTimeout )
                           : !stream.ended();
         lock.lock();
     }
     --m_readers;
-    m_changed = clock.now();
+    m_lastChangeAt = clock.now();
     lock.unlock();
     stream.finish();
     return sent;
@@ -107,31 +107,32 @@
     return it == m_sessions.end() ? nullptr : it->second;
 }
 
-void SessionTable::forget( MonoTime now ) {
+void SessionTable::removeExpired( MonoTime now ) {
     const std::lock_guard lock( m_mutex );
     std::erase_if( m_sessions, [this, now]( const auto& it ) {
         return it.second->finished() && it.second->readers() == 0 &&
-               now - it.second->changed() > m_keep;
+               now - it.second->lastChangeAt() > m_retention;
     } );
     std::size_t bytes = 0;
-    std::vector<std::shared_ptr<Session>> done;
+    std::vector<std::shared_ptr<Session>> finishedSessions;
     for( const auto& it : m_sessions ) {
         bytes += it.second->length();
         if( it.second->finished() && it.second->readers() == 0 ) {
-            done.push_back( it.second );
+            finishedSessions.push_back( it.second );
         }
     }
     if( bytes <= m_maxBytes ) {
         return;
     }
-    std::sort( done.begin(), done.end(),
-               []( const auto& a, const auto& b ) { return a->changed() < b->changed(); } );
-    for( const auto& victim : done ) {
+    std::sort(
+        finishedSessions.begin(), finishedSessions.end(),
+        []( const auto& a, const auto& b ) { return a->lastChangeAt() < b->lastChangeAt(); } );
+    for( const auto& oldest : finishedSessions ) {
         if( bytes <= m_maxBytes ) {
             break;
         }
-        bytes -= victim->length();
-        std::erase_if( m_sessions, [&victim]( const auto& it ) { return it.second == victim; } );
+        bytes -= oldest->length();
+        std::erase_if( m_sessions, [&oldest]( const auto& it ) { return it.second == oldest; } );
     }
 }
 
--- a/src/agent/wanted.cpp
+++ b/src/agent/wanted.cpp
@@ -14,7 +14,7 @@
     return { ItemKind::adapter, adapter.name, model.version, model.name };
 }
 
-//! Gathers wanted items, each once.
+//! Collects the wanted items without duplicates.
 class Collector {
 public:
     explicit Collector( const config::State& state ) : m_state( state ) {}
@@ -27,7 +27,7 @@
         }
     }
 
-    //! The adapter, and the model that it needs.
+    //! Adds the adapter and the model that it needs.
     void addAdapter( std::string_view name, bool waiting ) {
         const auto* adapter = config::findByName( m_state.adapters, name );
         const auto* model =
@@ -55,7 +55,7 @@
     std::vector<ledger::Wanted> m_items;
 };
 
-//! True when the configuration names another version of the item's model.
+//! True when the item's model has another version in the configuration.
 bool isOutdated( const config::State& state, const Item& item ) {
     const auto& name = item.kind == ItemKind::model ? item.name : item.model;
     const auto* model = config::findByName( state.models, name );
--- a/src/agent/wanted.hpp
+++ b/src/agent/wanted.hpp
@@ -11,12 +11,13 @@
 
 namespace coursehead::agent {
 
-//! The model as an item at its configured version.
+//! Returns the ledger item for the model at its configured version.
 ledger::Item modelItem( const config::Model& model );
 
 /**
- * What should be resident: the targets that requests wait for, the plan's models, and the new
- * version of whatever is resident in an older one. A pure function.
+ * Returns the items that should be resident: the targets that requests wait for, the plan's items,
+ * and the configured version of each item that the ledger holds in another version. A pure
+ * function.
  */
 std::vector<ledger::Wanted> wantedItems( const config::State& state,
                                          std::span<const peer::Target> waiting,
--- a/src/entry/call.cpp
+++ b/src/entry/call.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr Millis comeBackSoon{ 1000 };
-constexpr Millis comeBackCold{ 3000 };
+constexpr Millis shortRetryAfter{ 1000 };
+constexpr Millis coldLoadRetryAfter{ 3000 };
 
 } // namespace
 
@@ -40,10 +40,12 @@
 
 Call::Call( CallContext& context, CallRequest request, std::string_view session,
             std::uint64_t offset )
-    : m_context( context ), m_request( std::move( request ) ), m_joined( true ), m_have( offset ) {
-    const auto at = session.rfind( '~' );
-    m_answerId = session.substr( 0, at );
-    m_vm = at == std::string_view::npos ? "" : std::string( session.substr( at + 1 ) );
+    : m_context( context ), m_request( std::move( request ) ), m_joined( true ),
+      m_deliveredBytes( offset ) {
+    const auto separator = session.rfind( '~' );
+    m_answerId = session.substr( 0, separator );
+    m_vm =
+        separator == std::string_view::npos ? "" : std::string( session.substr( separator + 1 ) );
 }
 
 std::string Call::session() const {
@@ -60,24 +62,24 @@
     }
     for( ;; ) {
         if( !m_stream ) {
-            if( auto problem = m_joined ? join( m_vm ) : dispatch() ) {
-                return std::move( *problem );
+            if( auto event = m_joined ? join( m_vm ) : dispatch() ) {
+                return std::move( *event );
             }
             continue;
         }
-        const auto got = m_stream->receive( waitLimit() );
+        const auto got = m_stream->receive( receiveDeadline() );
         std::optional<CallEvent> event;
         if( got.status == ReceiveStatus::frame ) {
             const auto decoded = peer::decode( got.frame );
-            event = decoded.ok ? take( decoded.message ) : onBroken();
+            event = decoded.ok ? handleMessage( decoded.message ) : handleStreamLost();
         } else if( got.status == ReceiveStatus::refused && !m_accepted && !m_joined ) {
-            event = takeRefusal( { m_request.requestId, "no handler is free", 0 } );
+            event = handleRefusal( { m_request.requestId, "no handler is free", 0 } );
         } else if( got.status == ReceiveStatus::timeout &&
                    m_context.clock.now() >= m_request.deadline ) {
             m_mayHaveRun = true;
             event = fail( Reason::deadline, Outcome::unknown, "the deadline passed", Millis{ 0 } );
         } else {
-            event = onBroken();
+            event = handleStreamLost();
         }
         if( event ) {
             return std::move( *event );
@@ -85,15 +87,15 @@
     }
 }
 
-MonoTime Call::waitLimit() const {
+MonoTime Call::receiveDeadline() const {
     if( m_accepted || m_joined ) {
         return m_request.deadline;
     }
-    return std::min( m_request.deadline, m_sentAt + m_context.rules.acceptPatience );
+    return std::min( m_request.deadline, m_sentAt + m_context.rules.acceptTimeout );
 }
 
-Outcome Call::outcomeNow() const {
-    return m_mayHaveRun || m_have > 0 ? Outcome::unknown : Outcome::notRun;
+Outcome Call::currentOutcome() const {
+    return m_mayHaveRun || m_deliveredBytes > 0 ? Outcome::unknown : Outcome::notRun;
 }
 
 CallEvent Call::fail( Reason reason, Outcome outcome, std::string message, Millis retryAfter ) {
@@ -113,17 +115,17 @@
 }
 
 CallEvent Call::failNotRun( Reason reason, std::string message, Millis retryAfter ) {
-    return fail( reason, outcomeNow(), std::move( message ), retryAfter );
+    return fail( reason, currentOutcome(), std::move( message ), retryAfter );
 }
 
-Call::Problem Call::dispatch() {
+Call::MaybeEvent Call::dispatch() {
     const auto now = m_context.clock.now();
     if( now >= m_request.deadline ) {
         return failNotRun( Reason::deadline, "the deadline passed before the request could start",
                            Millis{ 0 } );
     }
     if( m_attempt >= m_context.rules.maxAttempts ) {
-        return failNotRun( Reason::retryBudget, "every attempt failed", comeBackSoon );
+        return failNotRun( Reason::retryBudget, "every attempt failed", shortRetryAfter );
     }
     const auto choice =
         m_context.directory.choose( m_request.target, m_request.prefixHash, m_excluded );
@@ -132,28 +134,29 @@
     if( !found ) {
         if( !m_lastRefusal.message.empty() ) {
             return failNotRun( m_lastRefusal.reason, m_lastRefusal.message,
-                               std::max( m_soonest, Millis{ 1 } ) );
+                               std::max( m_minRetryAfter, Millis{ 1 } ) );
         }
         return choice.kind == router::RouteKind::full
-                   ? failNotRun( Reason::full, "every agent with the target is full", comeBackSoon )
+                   ? failNotRun( Reason::full, "every agent with the target is full",
+                                 shortRetryAfter )
                    : failNotRun( Reason::noCapacity,
                                  "no agent can serve '" + m_request.target.name + "' now",
-                                 comeBackCold );
+                                 coldLoadRetryAfter );
     }
-    if( m_attempt == 0 && !m_started ) {
-        m_started = true;
+    if( m_attempt == 0 && !m_firstAttemptCounted ) {
+        m_firstAttemptCounted = true;
         m_context.budgets.earn( m_request.requestClass );
     } else if( !m_context.budgets.spend( m_request.requestClass ) ) {
         m_context.metrics.count( "retries_denied", m_request.requestClass );
         return failNotRun( Reason::retryBudget,
                            "the retry budget of class '" + m_request.requestClass + "' is used up",
-                           std::max( m_soonest, comeBackSoon ) );
+                           std::max( m_minRetryAfter, shortRetryAfter ) );
     } else {
         m_context.metrics.count( "retries", m_request.requestClass );
     }
     if( !m_request.key.empty() ) {
-        if( auto problem = takeKey( choice ) ) {
-            return problem;
+        if( auto event = claimKey( choice ) ) {
+            return event;
         }
         if( m_joined ) {
             return std::nullopt;
@@ -162,18 +165,18 @@
     return sendAttempt( choice );
 }
 
-Call::Problem Call::sendAttempt( const Choice& choice ) {
+Call::MaybeEvent Call::sendAttempt( const Choice& choice ) {
     if( m_request.key.empty() || !m_keyHeld ) {
         ++m_attempt;
     }
     m_accepted = false;
-    m_place = choice.place;
+    m_inFlightHold = choice.inFlightHold;
     m_vm = choice.vm;
     m_incarnation = choice.incarnation;
     m_sentAt = m_context.clock.now();
     auto stream = m_context.directory.open( choice.vm, peer::runPath, m_sentAt );
     if( !stream ) {
-        return goElsewhere( "connection down" );
+        return retryOnOtherAgent( "connection down" );
     }
     peer::RunRequest out;
     out.requestId = m_request.requestId;
@@ -193,9 +196,9 @@
     out.prefix = m_text;
     out.mayLoad = choice.kind == router::RouteKind::cold;
     out.revision = m_context.replica.revision();
-    if( !stream->send( encode( out ), waitLimit() ) ) {
+    if( !stream->send( encode( out ), receiveDeadline() ) ) {
         m_stream = std::move( stream );
-        return onBroken();
+        return handleStreamLost();
     }
     stream->finish();
     m_stream = std::move( stream );
@@ -213,36 +216,36 @@
     return out;
 }
 
-std::optional<peer::ClaimAnswer> Call::askOwner( const peer::ClaimRequest& request ) {
+std::optional<peer::ClaimAnswer> Call::queryKeyOwner( const peer::ClaimRequest& request ) {
     const auto state = m_context.replica.state();
     const auto owner = claims::ownerOf( *state, claims::slotOf( m_request.key ) );
-    auto answer = ask( owner, peer::claimPath, request );
+    auto answer = queryAgent( owner, peer::claimPath, request );
     if( !answer || !std::holds_alternative<peer::ClaimAnswer>( *answer ) ) {
         return std::nullopt;
     }
     return std::get<peer::ClaimAnswer>( std::move( *answer ) );
 }
 
-Call::Problem Call::takeKey( const Choice& choice ) {
+Call::MaybeEvent Call::claimKey( const Choice& choice ) {
     ++m_attempt;
     const auto step = m_keyHeld ? peer::ClaimStep::move : peer::ClaimStep::claim;
-    const auto answer = askOwner( claimRequest( step, choice ) );
+    const auto answer = queryKeyOwner( claimRequest( step, choice ) );
     if( !answer ) {
-        // A claim whose answer was lost holds the key for an attempt that is never sent: the next
-        // request with this key finds it barred and takes over.
+        // If only the answer was lost, the owner holds the key for an attempt that is never sent.
+        // The next request with this key bars that attempt and takes over the key.
         return failNotRun( Reason::keyOwner, "the owner of the idempotency key can't be reached",
-                           comeBackSoon );
+                           shortRetryAfter );
     }
-    return onClaimed( *answer, choice );
+    return handleClaimAnswer( *answer, choice );
 }
 
-Call::Problem Call::onClaimed( const peer::ClaimAnswer& answer, const Choice& choice ) {
+Call::MaybeEvent Call::handleClaimAnswer( const peer::ClaimAnswer& answer, const Choice& choice ) {
     switch( answer.verdict ) {
     case peer::ClaimVerdict::granted:
         m_keyHeld = true;
         return std::nullopt;
     case peer::ClaimVerdict::busy:
-        return onBusy( answer.holder, choice );
+        return handleKeyBusy( answer.holder, choice );
     case peer::ClaimVerdict::finished:
         return replay( answer );
     case peer::ClaimVerdict::unknown:
@@ -251,7 +254,7 @@
                      Millis{ 0 } );
     case peer::ClaimVerdict::notOwner:
         return failNotRun( Reason::keyOwner, "the idempotency key's owner is changing",
-                           comeBackSoon );
+                           shortRetryAfter );
     case peer::ClaimVerdict::mismatch:
         return fail( Reason::keyMismatch, Outcome::notRun,
                      "the idempotency key was used for a different request", Millis{ 0 } );
@@ -262,7 +265,8 @@
     return std::nullopt;
 }
 
-//! Gives the kept answer again: a service's body as it was, a model's text as one piece.
+//! Replays the answer that the key's owner stored: a service's body unchanged, a model's text as
+//! one event.
 CallEvent Call::replay( const peer::ClaimAnswer& answer ) {
     CallEvent out;
     out.kind = CallEventKind::done;
@@ -284,42 +288,43 @@
     return out;
 }
 
-//! What became of the attempt that holds our key. It may still be on its way to its agent: it is
-//! given a little time before it is barred, or two requests could bar each other for ever.
-AttemptState Call::stateOf( const peer::ClaimHolder& holder ) {
-    for( std::uint32_t n = 0; n < m_context.rules.looks; ++n ) {
+//! Returns the state of the attempt that holds this request's key. The attempt may still be on its
+//! way to its agent, so it is polled `attemptPolls` times before it is barred; otherwise two
+//! requests could bar each other for ever.
+AttemptState Call::holderState( const peer::ClaimHolder& holder ) {
+    for( std::uint32_t n = 0; n < m_context.rules.attemptPolls; ++n ) {
         const auto state = barAttempt( holder.executor, holder.incarnation, holder.requestId,
                                        holder.attempt, true );
         if( state != AttemptState::unseen ) {
             return state;
         }
-        std::this_thread::sleep_for( m_context.rules.lookPause );
+        std::this_thread::sleep_for( m_context.rules.attemptPollInterval );
     }
     return barAttempt( holder.executor, holder.incarnation, holder.requestId, holder.attempt );
 }
 
-Call::Problem Call::onBusy( const peer::ClaimHolder& holder, const Choice& choice ) {
-    const auto state = stateOf( holder );
+Call::MaybeEvent Call::handleKeyBusy( const peer::ClaimHolder& holder, const Choice& choice ) {
+    const auto state = holderState( holder );
     if( state == AttemptState::started || state == AttemptState::finished ) {
         m_joined = true;
         m_answerId = holder.requestId;
         m_vm = holder.executor;
-        m_have = 0;
+        m_deliveredBytes = 0;
         return std::nullopt;
     }
     if( state != AttemptState::barred ) {
         return fail( Reason::keyBusy, Outcome::unknown,
                      "another request with this idempotency key is or was in progress",
-                     comeBackSoon );
+                     shortRetryAfter );
     }
     m_attempt = holder.attempt + 1;
-    const auto moved = askOwner( claimRequest( peer::ClaimStep::move, choice ) );
+    const auto moved = queryKeyOwner( claimRequest( peer::ClaimStep::move, choice ) );
     if( moved && moved->verdict == peer::ClaimVerdict::granted ) {
         m_keyHeld = true;
         return std::nullopt;
     }
     return fail( Reason::keyBusy, Outcome::unknown,
-                 "another request with this idempotency key is in progress", comeBackSoon );
+                 "another request with this idempotency key is in progress", shortRetryAfter );
 }
 
 void Call::resolveKey( peer::ClaimOutcome outcome, const peer::RunDone* done ) {
@@ -332,58 +337,58 @@
         request.contentType = service ? done->contentType : done->finishReason;
         request.body = service ? done->body : m_text;
     }
-    askOwner( request );
+    queryKeyOwner( request );
 }
 
-// --- what an agent says
+// --- messages from agents
 
-std::optional<CallEvent> Call::take( const peer::Message& message ) {
+std::optional<CallEvent> Call::handleMessage( const peer::Message& message ) {
     if( std::holds_alternative<peer::RunAccepted>( message ) ) {
         m_accepted = true;
         return std::nullopt;
     }
     if( const auto* chunk = std::get_if<peer::RunChunk>( &message ) ) {
-        return takeChunk( *chunk );
+        return handleChunk( *chunk );
     }
     if( const auto* done = std::get_if<peer::RunDone>( &message ) ) {
         if( done->requestId != m_answerId ) {
             m_context.metrics.count( "crossed_answers_dropped" );
             return std::nullopt;
         }
-        return done->length == m_have ? takeDone( *done ) : onBroken();
+        return done->length == m_deliveredBytes ? handleDone( *done ) : handleStreamLost();
     }
     if( const auto* refusal = std::get_if<peer::RunRefused>( &message ) ) {
-        return takeRefusal( *refusal );
+        return handleRefusal( *refusal );
     }
     if( const auto* failure = std::get_if<peer::RunFailed>( &message ) ) {
-        return takeFailure( *failure );
+        return handleFailure( *failure );
     }
-    return onBroken();
+    return handleStreamLost();
 }
 
-std::optional<CallEvent> Call::takeChunk( const peer::RunChunk& chunk ) {
+std::optional<CallEvent> Call::handleChunk( const peer::RunChunk& chunk ) {
     if( chunk.requestId != m_answerId ) {
         m_context.metrics.count( "crossed_answers_dropped" );
         return std::nullopt;
     }
     m_accepted = true;
-    if( chunk.offset > m_have ) {
-        return onBroken();
+    if( chunk.offset > m_deliveredBytes ) {
+        return handleStreamLost();
     }
-    const auto known = m_have - chunk.offset;
-    if( known >= chunk.text.size() ) {
+    const auto overlap = m_deliveredBytes - chunk.offset;
+    if( overlap >= chunk.text.size() ) {
         return std::nullopt;
     }
     CallEvent out;
     out.kind = CallEventKind::text;
-    out.offset = m_have;
-    out.text = chunk.text.substr( known );
+    out.offset = m_deliveredBytes;
+    out.text = chunk.text.substr( overlap );
     m_text += out.text;
-    m_have += out.text.size();
+    m_deliveredBytes += out.text.size();
     return out;
 }
 
-CallEvent Call::takeDone( peer::RunDone done ) {
+CallEvent Call::handleDone( peer::RunDone done ) {
     if( m_keyHeld ) {
         resolveKey( peer::ClaimOutcome::finished, &done );
     }
@@ -394,7 +399,7 @@
     return out;
 }
 
-Call::Problem Call::takeRefusal( const peer::RunRefused& refusal ) {
+Call::MaybeEvent Call::handleRefusal( const peer::RunRefused& refusal ) {
     m_stream.reset();
     if( m_joined ) {
         return fail( Reason::notFound, Outcome::unknown, "no such session: " + refusal.reason,
@@ -403,35 +408,35 @@
     m_lastRefusal.reason = refusal.reason == "draining" ? Reason::noCapacity : Reason::full;
     m_lastRefusal.message = refusal.reason;
     const Millis after{ std::max<std::int64_t>( refusal.retryAfterMs, 1 ) };
-    m_soonest = m_soonest.count() == 0 ? after : std::min( m_soonest, after );
-    return goElsewhere( refusal.reason );
+    m_minRetryAfter = m_minRetryAfter.count() == 0 ? after : std::min( m_minRetryAfter, after );
+    return retryOnOtherAgent( refusal.reason );
 }
 
-Call::Problem Call::takeFailure( const peer::RunFailed& failure ) {
+Call::MaybeEvent Call::handleFailure( const peer::RunFailed& failure ) {
     m_stream.reset();
     if( !failure.mayHaveRun ) {
         m_lastRefusal = { Reason::upstreamSaid, Outcome::notRun, failure.reason, {}, 0 };
-        return goElsewhere( failure.reason );
+        return retryOnOtherAgent( failure.reason );
     }
     if( m_request.repeatable && !m_joined ) {
         m_mayHaveRun = true;
-        return goElsewhere( failure.reason );
+        return retryOnOtherAgent( failure.reason );
     }
     return fail( Reason::lostUpstream, Outcome::unknown, failure.reason, Millis{ 0 } );
 }
 
-Call::Problem Call::goElsewhere( std::string_view why ) {
+Call::MaybeEvent Call::retryOnOtherAgent( std::string_view why ) {
     log::info( "attempt_moves_on", { { "request", m_request.requestId },
                                      { "attempt", static_cast<std::int64_t>( m_attempt ) },
                                      { "from", m_vm },
                                      { "reason", why } } );
     m_stream.reset();
-    m_place.reset();
+    m_inFlightHold.reset();
     m_excluded.push_back( m_vm );
     return std::nullopt;
 }
 
-Call::Problem Call::onBroken() {
+Call::MaybeEvent Call::handleStreamLost() {
     m_stream.reset();
     if( m_joined ) {
         return fail( Reason::lostUpstream, Outcome::unknown, "the session was lost", Millis{ 0 } );
@@ -439,7 +444,7 @@
     const auto state = barAttempt( m_vm, m_incarnation, m_request.requestId, m_attempt );
     switch( state ) {
     case AttemptState::barred:
-        return goElsewhere( "barred" );
+        return retryOnOtherAgent( "barred" );
     case AttemptState::started:
     case AttemptState::finished:
         return join( m_vm );
@@ -449,25 +454,26 @@
     }
     m_mayHaveRun = true;
     if( m_request.repeatable ) {
-        return goElsewhere( "lost" );
+        return retryOnOtherAgent( "lost" );
     }
     return fail( Reason::lostUpstream, Outcome::unknown,
                  "the agent was lost while it had the request", Millis{ 0 } );
 }
 
-Call::Problem Call::join( const std::string& vm ) {
+Call::MaybeEvent Call::join( const std::string& vm ) {
     const auto limit =
-        std::min( m_request.deadline, m_context.clock.now() + m_context.rules.askPatience );
+        std::min( m_request.deadline, m_context.clock.now() + m_context.rules.queryTimeout );
     auto stream = m_context.directory.open( vm, peer::joinPath, limit );
     const bool sent =
-        stream && stream->send( encode( peer::JoinRequest{ m_answerId, m_have } ), limit );
+        stream &&
+        stream->send( encode( peer::JoinRequest{ m_answerId, m_deliveredBytes } ), limit );
     if( !sent ) {
         if( m_request.repeatable && !m_joined ) {
             m_mayHaveRun = true;
-            return goElsewhere( "lost" );
+            return retryOnOtherAgent( "lost" );
         }
         return fail( Reason::lostUpstream, Outcome::unknown, "the session can't be reached",
-                     comeBackSoon );
+                     shortRetryAfter );
     }
     stream->finish();
     m_accepted = true;
@@ -475,13 +481,13 @@
     return std::nullopt;
 }
 
-// --- questions to agents
+// --- requests to agents
 
-std::optional<peer::Message> Call::ask( std::string_view vm, std::string_view path,
-                                        const peer::Message& question ) {
-    const auto limit = m_context.clock.now() + m_context.rules.askPatience;
+std::optional<peer::Message> Call::queryAgent( std::string_view vm, std::string_view path,
+                                               const peer::Message& request ) {
+    const auto limit = m_context.clock.now() + m_context.rules.queryTimeout;
     auto stream = m_context.directory.open( vm, path, limit );
-    if( !stream || !stream->send( encode( question ), limit ) ) {
+    if( !stream || !stream->send( encode( request ), limit ) ) {
         return std::nullopt;
     }
     stream->finish();
@@ -496,8 +502,8 @@
 AttemptState Call::barAttempt( std::string_view vm, std::string_view incarnation,
                                const std::string& requestId, std::uint32_t attempt, bool askOnly ) {
     const auto answer =
-        ask( vm, peer::barPath,
-             peer::BarRequest{ requestId, attempt, std::string( incarnation ), askOnly } );
+        queryAgent( vm, peer::barPath,
+                    peer::BarRequest{ requestId, attempt, std::string( incarnation ), askOnly } );
     const auto* found = answer ? std::get_if<peer::BarAnswer>( &*answer ) : nullptr;
     return found != nullptr && found->requestId == requestId ? found->state : AttemptState::unknown;
 }
--- a/src/entry/call.hpp
+++ b/src/entry/call.hpp
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-//! One caller's request on its way through agents, until its whole answer or its final failure.
+//! Runs one caller's request on agents until its answer is complete or it has finally failed.
 namespace coursehead::entry {
 
-//! A request as it came from a caller, checked.
+//! A caller's validated request.
 struct CallRequest {
     std::string requestId;
     std::string caller;
@@ -30,8 +30,8 @@
     std::string key; //!< idempotency key; a request with one runs at most once
     std::uint64_t prefixHash = 0;
     MonoTime deadline;
-    Millis patience{ 610 }; //!< its class's target for the first token
-    bool repeatable = true; //!< false: it is never sent again once it may have run
+    Millis patience{ 610 }; //!< the request class's first-token target; bounds the queue wait
+    bool repeatable = true; //!< false: never sent again once it may have run
 };
 
 enum class CallEventKind { text, done, failed };
@@ -44,16 +44,16 @@
     caller::Failure failure;
 };
 
-//! Bounds of waiting at an entry.
+//! Timeouts and limits of an entry's calls.
 struct CallRules {
-    Millis acceptPatience{ 1000 }; //!< an agent that does not acknowledge within this is given up
-    Millis askPatience{ 1000 };    //!< waiting for an agent to answer a question
-    Millis lookPause{ 50 };        //!< between looks for another request's attempt
-    std::uint32_t looks = 10;      //!< before that attempt is barred
+    Millis acceptTimeout{ 1000 };     //!< for the acknowledgement; the agent is then given up
+    Millis queryTimeout{ 1000 };      //!< for an agent's answer to a query
+    Millis attemptPollInterval{ 50 }; //!< between polls of another request's attempt
+    std::uint32_t attemptPolls = 10;  //!< polls before that attempt is barred
     std::uint32_t maxAttempts = 4;
 };
 
-//! Retry budgets by class, shared by the calls of an entry.
+//! Retry budgets by request class, shared by the calls of an entry.
 class RetryBudgets {
 public:
     explicit RetryBudgets( double share ) : m_share( share ) {}
@@ -66,7 +66,7 @@
     std::map<std::string, router::RetryBudget> m_budgets;
 };
 
-//! What calls need of their entry.
+//! The components of the entry that calls use.
 struct CallContext {
     Directory& directory;
     config::Replica& replica;
@@ -77,78 +77,78 @@
 };
 
 /**
- * Pulls the events of one request: text in order and without gaps, then `done` or `failed`.
+ * Returns the events of one request: text in order and without gaps, then `done` or `failed`.
  *
- * A broken way to an agent is settled by asking that agent whether it started the attempt, which
- * bars it if not: a barred attempt may go elsewhere, a started one is joined. When no answer can be
- * had, a repeatable request goes elsewhere, carrying the text so far; any other one fails with
- * outcome `unknown`.
+ * After a lost stream the entry asks the agent whether it has started the attempt, and the agent
+ * bars the attempt if it hasn't. A barred attempt is retried on another agent; a started one is
+ * joined. If the agent doesn't answer, a repeatable request is sent to another agent with the text
+ * received so far; any other request fails with outcome `unknown`.
  */
 class Call {
 public:
     Call( CallContext& context, CallRequest request );
-    //! A call that follows a running session from an offset.
+    //! Follows an existing session from an offset.
     Call( CallContext& context, CallRequest request, std::string_view session,
           std::uint64_t offset );
 
     CallEvent next();
-    //! The session to resume by: request id and the VM that holds its text.
+    //! The session's name for a resume: the request id and the VM that holds the answer's text.
     std::string session() const;
 
 private:
-    using Problem = std::optional<CallEvent>;
+    using MaybeEvent = std::optional<CallEvent>;
 
-    Problem dispatch();
-    Problem sendAttempt( const Choice& choice );
-    Problem takeKey( const Choice& choice );
-    Problem onClaimed( const peer::ClaimAnswer& answer, const Choice& choice );
+    MaybeEvent dispatch();
+    MaybeEvent sendAttempt( const Choice& choice );
+    MaybeEvent claimKey( const Choice& choice );
+    MaybeEvent handleClaimAnswer( const peer::ClaimAnswer& answer, const Choice& choice );
     CallEvent replay( const peer::ClaimAnswer& answer );
-    Problem onBusy( const peer::ClaimHolder& holder, const Choice& choice );
+    MaybeEvent handleKeyBusy( const peer::ClaimHolder& holder, const Choice& choice );
     void resolveKey( peer::ClaimOutcome outcome, const peer::RunDone* done );
     peer::ClaimRequest claimRequest( peer::ClaimStep step, const Choice& choice ) const;
-    std::optional<peer::ClaimAnswer> askOwner( const peer::ClaimRequest& request );
+    std::optional<peer::ClaimAnswer> queryKeyOwner( const peer::ClaimRequest& request );
 
-    std::optional<CallEvent> take( const peer::Message& message );
-    std::optional<CallEvent> takeChunk( const peer::RunChunk& chunk );
-    CallEvent takeDone( peer::RunDone done );
-    Problem takeRefusal( const peer::RunRefused& refusal );
-    Problem takeFailure( const peer::RunFailed& failure );
-    Problem onBroken();
-    Problem join( const std::string& vm );
-    Problem goElsewhere( std::string_view why );
+    std::optional<CallEvent> handleMessage( const peer::Message& message );
+    std::optional<CallEvent> handleChunk( const peer::RunChunk& chunk );
+    CallEvent handleDone( peer::RunDone done );
+    MaybeEvent handleRefusal( const peer::RunRefused& refusal );
+    MaybeEvent handleFailure( const peer::RunFailed& failure );
+    MaybeEvent handleStreamLost();
+    MaybeEvent join( const std::string& vm );
+    MaybeEvent retryOnOtherAgent( std::string_view why );
 
     peer::AttemptState barAttempt( std::string_view vm, std::string_view incarnation,
                                    const std::string& requestId, std::uint32_t attempt,
                                    bool askOnly = false );
-    peer::AttemptState stateOf( const peer::ClaimHolder& holder );
-    std::optional<peer::Message> ask( std::string_view vm, std::string_view path,
-                                      const peer::Message& question );
+    peer::AttemptState holderState( const peer::ClaimHolder& holder );
+    std::optional<peer::Message> queryAgent( std::string_view vm, std::string_view path,
+                                             const peer::Message& request );
     CallEvent fail( caller::Reason reason, caller::Outcome outcome, std::string message,
                     Millis retryAfter );
     CallEvent failNotRun( caller::Reason reason, std::string message, Millis retryAfter );
-    caller::Outcome outcomeNow() const;
-    MonoTime waitLimit() const;
+    caller::Outcome currentOutcome() const;
+    MonoTime receiveDeadline() const;
 
     CallContext& m_context;
     CallRequest m_request;
-    std::string m_answerId; //!< request id that the answer has to carry
+    std::string m_answerId; //!< the request id expected in answers
     std::shared_ptr<peer::Stream> m_stream;
-    std::shared_ptr<void> m_place; //!< at the agent that has the current attempt
+    std::shared_ptr<void> m_inFlightHold; //!< counts the request at the current attempt's agent
     std::string m_vm;
     std::string m_incarnation;
     std::vector<std::string> m_excluded;
     std::uint32_t m_attempt = 0;
-    bool m_accepted = false; //!< the current attempt was acknowledged
+    bool m_accepted = false; //!< the agent has acknowledged the current attempt
     bool m_joined = false;   //!< following a session instead of running an attempt
     bool m_keyHeld = false;
-    bool m_mayHaveRun = false; //!< some attempt may have run without a known outcome
-    bool m_started = false;    //!< counted as a first attempt
-    std::string m_text;        //!< all text so far, for going on elsewhere
-    std::uint64_t m_have = 0;  //!< bytes handed over
+    bool m_mayHaveRun = false;          //!< an attempt may have run, its outcome is unknown
+    bool m_firstAttemptCounted = false; //!< the retry budget has counted the first attempt
+    std::string m_text;                 //!< all text so far, sent along with a retry
+    std::uint64_t m_deliveredBytes = 0; //!< bytes delivered to the caller
     caller::Failure m_lastRefusal;
-    Millis m_soonest{ 0 };
+    Millis m_minRetryAfter{ 0 };
     MonoTime m_sentAt;
-    std::optional<peer::RunDone> m_replay; //!< ends an answer that the key's owner had kept
+    std::optional<peer::RunDone> m_replay; //!< final event of a replayed answer
 };
 
 } // namespace coursehead::entry
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-//! The control thread also looks around without being woken, to catch up on missed news.
-constexpr Millis lookInterval{ 1000 };
+//! The control thread also runs at this interval without a wake-up, to catch up on missed updates.
+constexpr Millis pollInterval{ 1000 };
 
-Distance distanceOf( const Place& place, const platform::Vm& vm ) {
-    if( vm.region != place.region ) {
+Distance distanceOf( const Location& location, const platform::Vm& vm ) {
+    if( vm.region != location.region ) {
         return Distance::otherRegion;
     }
-    return vm.hall == place.hall ? Distance::sameHall : Distance::sameRegion;
+    return vm.hall == location.hall ? Distance::sameHall : Distance::sameRegion;
 }
 
-bool has( const peer::AgentStatus& status, std::string_view kind, std::string_view name,
-          bool ready ) {
+bool hasItem( const peer::AgentStatus& status, std::string_view kind, std::string_view name,
+              bool ready ) {
     return std::any_of( status.items.begin(), status.items.end(), [&]( const auto& it ) {
         return it.kind == kind && it.name == name && it.ready == ready;
     } );
@@ -32,23 +32,23 @@
 
 bool hasTarget( const peer::AgentStatus& status, const peer::Target& target, bool ready ) {
     if( target.kind == peer::TargetKind::service ) {
-        return ready && has( status, "service", "", true );
+        return ready && hasItem( status, "service", "", true );
     }
     if( !target.adapter.empty() ) {
-        return has( status, "adapter", target.adapter, ready );
+        return hasItem( status, "adapter", target.adapter, ready );
     }
-    return has( status, "model", target.name, ready );
+    return hasItem( status, "model", target.name, ready );
 }
 
-std::uint64_t drawFrom( void* context, std::uint64_t bound ) {
+std::uint64_t randomBelow( void* context, std::uint64_t bound ) {
     return static_cast<RandomSource*>( context )->below( bound );
 }
 
 } // namespace
 
-Directory::Directory( Place place, peer::Loop& loop, config::Replica& replica, RandomSource& random,
-                      const Clock& clock )
-    : m_place( std::move( place ) ), m_loop( loop ), m_replica( replica ), m_random( random ),
+Directory::Directory( Location location, peer::Loop& loop, config::Replica& replica,
+                      RandomSource& random, const Clock& clock )
+    : m_location( std::move( location ) ), m_loop( loop ), m_replica( replica ), m_random( random ),
       m_clock( clock ) {}
 
 Directory::~Directory() {
@@ -76,7 +76,7 @@
 
 void Directory::wake() {
     const std::lock_guard lock( m_mutex );
-    m_work = true;
+    m_workPending = true;
     m_changed.notify_all();
 }
 
@@ -89,9 +89,9 @@
             continue;
         }
         auto old = m_agents.find( it.name );
-        const bool same = old != m_agents.end() && old->second.view.vm.ip == it.ip &&
-                          old->second.view.vm.port == it.port;
-        if( same ) {
+        const bool sameAddress = old != m_agents.end() && old->second.view.vm.ip == it.ip &&
+                                 old->second.view.vm.port == it.port;
+        if( sameAddress ) {
             next[it.name] = std::move( old->second );
             m_agents.erase( old );
         } else {
@@ -103,7 +103,7 @@
         m_loop.disconnect( it.second.link );
     }
     m_agents = std::move( next );
-    m_work = true;
+    m_workPending = true;
     m_changed.notify_all();
 }
 
@@ -115,7 +115,7 @@
             it.second.view.reported = false;
         }
     }
-    m_work = true;
+    m_workPending = true;
     m_changed.notify_all();
 }
 
@@ -124,13 +124,14 @@
         openControls();
         readControls();
         std::unique_lock lock( m_mutex );
-        m_changed.wait_for( lock, lookInterval, [this] { return m_work || m_stopping; } );
-        // Not only after a quiet interval: a stream of changes wakes us all the time.
-        if( m_clock.now() - m_lastSpread >= lookInterval ) {
-            m_lastSpread = m_clock.now();
-            spreadConfig();
+        m_changed.wait_for( lock, pollInterval, [this] { return m_workPending || m_stopping; } );
+        // Compare with the time of the last push instead of waiting for a timeout: a steady stream
+        // of changes wakes the thread before each timeout, and no push would ever happen.
+        if( m_clock.now() - m_lastConfigPush >= pollInterval ) {
+            m_lastConfigPush = m_clock.now();
+            pushConfigToLaggingAgents();
         }
-        m_work = false;
+        m_workPending = false;
         if( m_stopping ) {
             return;
         }
@@ -152,13 +153,13 @@
             continue;
         }
         agent.control->listen( [this] { wake(); } );
-        agent.control->trySend( encode( peer::Hello{ m_place.vm, m_replica.revision() } ) );
+        agent.control->trySend( encode( peer::Hello{ m_location.vm, m_replica.revision() } ) );
     }
 }
 
-//! Passes our configuration to agents that have lagged for a while: their watch may be cut. An
-//! agent that only has not reported yet is left alone.
-void Directory::spreadConfig() {
+//! Sends the configuration to agents whose reported revision was behind at two checks in a row:
+//! their watch of the store may be cut. Agents that haven't reported yet are skipped.
+void Directory::pushConfigToLaggingAgents() {
     const auto revision = m_replica.revision();
     for( auto& [name, agent] : m_agents ) {
         if( !agent.control || !agent.view.reported || agent.view.status.revision >= revision ) {
@@ -173,7 +174,7 @@
 }
 
 void Directory::readControls() {
-    std::vector<peer::ConfigNews> news;
+    std::vector<peer::ConfigNews> updates;
     std::unique_lock lock( m_mutex );
     for( auto& [name, agent] : m_agents ) {
         while( agent.control ) {
@@ -181,18 +182,18 @@
             if( got.status != ReceiveStatus::frame ) {
                 break;
             }
-            take( agent, got.frame, news );
+            handleMessage( agent, got.frame, updates );
         }
     }
-    // Adopting configuration calls back into services that look at us.
+    // Adopting a configuration runs callbacks that take this lock, so release it first.
     lock.unlock();
-    for( const auto& it : news ) {
+    for( const auto& it : updates ) {
         m_replica.offer( it );
     }
 }
 
-void Directory::take( Agent& agent, const std::string& frame,
-                      std::vector<peer::ConfigNews>& news ) {
+void Directory::handleMessage( Agent& agent, const std::string& frame,
+                               std::vector<peer::ConfigNews>& updates ) {
     auto decoded = peer::decode( frame );
     if( !decoded.ok ) {
         log::warn( "control_message_malformed",
@@ -200,21 +201,21 @@
         return;
     }
     if( const auto* status = std::get_if<peer::AgentStatus>( &decoded.message ) ) {
-        takeStatus( agent, *status );
+        handleStatus( agent, *status );
     } else if( const auto* load = std::get_if<peer::LoadReport>( &decoded.message ) ) {
-        takeLoad( agent, *load );
-    } else if( auto* brought = std::get_if<peer::ConfigNews>( &decoded.message ) ) {
-        news.push_back( std::move( *brought ) );
-    } else if( const auto* ask = std::get_if<peer::ConfigAsk>( &decoded.message ) ) {
-        exchangeConfig( agent, ask->revision );
+        handleLoad( agent, *load );
+    } else if( auto* update = std::get_if<peer::ConfigNews>( &decoded.message ) ) {
+        updates.push_back( std::move( *update ) );
+    } else if( const auto* request = std::get_if<peer::ConfigAsk>( &decoded.message ) ) {
+        exchangeConfig( agent, request->revision );
     }
 }
 
-void Directory::takeStatus( Agent& agent, const peer::AgentStatus& status ) {
+void Directory::handleStatus( Agent& agent, const peer::AgentStatus& status ) {
     auto& view = agent.view;
-    const bool older = view.reported && view.status.incarnation == status.incarnation &&
-                       status.sequence <= view.status.sequence;
-    if( older ) {
+    const bool staleReport = view.reported && view.status.incarnation == status.incarnation &&
+                             status.sequence <= view.status.sequence;
+    if( staleReport ) {
         return;
     }
     for( const auto& it : status.demand ) {
@@ -227,7 +228,7 @@
     exchangeConfig( agent, status.revision );
 }
 
-void Directory::takeLoad( Agent& agent, const peer::LoadReport& load ) {
+void Directory::handleLoad( Agent& agent, const peer::LoadReport& load ) {
     auto& view = agent.view;
     if( !view.reported || load.sequence <= view.status.sequence ) {
         return;
@@ -244,10 +245,10 @@
     exchangeConfig( agent, load.revision );
 }
 
-void Directory::exchangeConfig( Agent& agent, config::Revision theirs ) {
-    if( auto news = m_replica.newsFor( theirs ) ) {
-        agent.control->trySend( encode( std::move( *news ) ) );
-    } else if( theirs > m_replica.revision() ) {
+void Directory::exchangeConfig( Agent& agent, config::Revision agentRevision ) {
+    if( auto update = m_replica.newsFor( agentRevision ) ) {
+        agent.control->trySend( encode( std::move( *update ) ) );
+    } else if( agentRevision > m_replica.revision() ) {
         agent.control->trySend( encode( peer::ConfigAsk{ m_replica.revision() } ) );
     }
 }
@@ -270,7 +271,7 @@
     const bool service = view.vm.role == platform::VmRole::service;
     Candidate out;
     out.vm = view.vm.name;
-    out.distance = distanceOf( m_place, view.vm );
+    out.distance = distanceOf( m_location, view.vm );
     out.reachable =
         view.up && view.reported && service == ( target.kind == peer::TargetKind::service );
     out.leaving = status.draining || view.vm.state == platform::VmState::leaving;
@@ -279,7 +280,8 @@
     out.loading = hasTarget( status, target, false );
     out.canLoad = canLoad( agent, state, target );
     out.freeBytes = status.freeBytes;
-    // What we sent since the report adds to it; what of ours has ended since goes off it.
+    // Adjust the reported load by this entry's own requests: add those sent since the report and
+    // subtract those ended since.
     const auto reported = status.running + status.queued;
     const auto ended = agent.inFlightAtReport - std::min( agent.inFlightAtReport, agent.inFlight );
     out.reportedLoad = reported - std::min( reported, ended );
@@ -293,22 +295,22 @@
     const auto state = m_replica.state();
     const std::lock_guard lock( m_mutex );
     std::vector<Candidate> candidates;
-    std::vector<Agent*> owners;
+    std::vector<Agent*> candidateAgents;
     for( auto& [name, agent] : m_agents ) {
         candidates.push_back( candidate( agent, *state, target, excluded ) );
-        owners.push_back( &agent );
+        candidateAgents.push_back( &agent );
     }
     const auto picked =
-        router::route( candidates, prefixHash, m_rules, router::Dice{ drawFrom, &m_random } );
+        router::route( candidates, prefixHash, m_rules, router::Dice{ randomBelow, &m_random } );
     Choice out;
     out.kind = picked.kind;
     if( picked.kind == router::RouteKind::warm || picked.kind == router::RouteKind::cold ) {
-        auto& agent = *owners[picked.index];
+        auto& agent = *candidateAgents[picked.index];
         ++agent.inFlight;
         out.vm = agent.view.vm.name;
-        out.place = { this, [this, vm = out.vm]( void* ) {
-                         release( vm );
-                     } };
+        out.inFlightHold = { this, [this, vm = out.vm]( void* ) {
+                                release( vm );
+                            } };
         out.incarnation = agent.view.status.incarnation;
     }
     return out;
@@ -340,7 +342,7 @@
     }
 }
 
-bool Directory::tell( std::string_view vm, const peer::Message& message ) {
+bool Directory::sendControl( std::string_view vm, const peer::Message& message ) {
     const std::lock_guard lock( m_mutex );
     const auto found = m_agents.find( vm );
     return found != m_agents.end() && found->second.control &&
--- a/src/entry/directory.hpp
+++ b/src/entry/directory.hpp
@@ -16,11 +16,11 @@
 #include <thread>
 #include <vector>
 
-//! What an entry knows of the agents: the platform's list, the connections and their reports.
+//! An entry's view of the agents: the platform's VM list, the connections and the agents' reports.
 namespace coursehead::entry {
 
-//! Where an entry stands.
-struct Place {
+//! An entry's VM, hall and region.
+struct Location {
     std::string vm;
     std::string hall;
     std::string region;
@@ -30,7 +30,7 @@
 struct AgentView {
     platform::Vm vm;
     bool up = false;
-    bool reported = false; //!< `status` is the current process's own report
+    bool reported = false; //!< the current agent process has sent `status`
     peer::AgentStatus status;
     MonoTime reportedAt;
 };
@@ -40,16 +40,17 @@
     router::RouteKind kind = router::RouteKind::nowhere;
     std::string vm;
     std::string incarnation;
-    std::shared_ptr<void> place; //!< counts the request as being there until it is let go
+    //! Counts the request as in flight at the agent until released.
+    std::shared_ptr<void> inFlightHold;
 };
 
 /**
- * Keeps a connection and a control stream to each agent of the list, takes their reports, and
- * passes configuration on in both directions.
+ * Keeps a connection and a control stream to each agent of the list, receives the agents' reports,
+ * and exchanges configuration with them in both directions.
  */
 class Directory {
 public:
-    Directory( Place place, peer::Loop& loop, config::Replica& replica, RandomSource& random,
+    Directory( Location location, peer::Loop& loop, config::Replica& replica, RandomSource& random,
                const Clock& clock );
     ~Directory();
     Directory( const Directory& ) = delete;
@@ -58,28 +59,28 @@
     void start();
     void stop();
 
-    //! Takes the platform's list at a version of the store.
+    //! Applies the platform's VM list at a version of the store.
     void updateVms( std::span<const platform::Vm> vms, std::uint64_t version );
-    //! To be called when a link changes; any thread.
+    //! Must be called when a link goes up or down; may be called from any thread.
     void onLinkChange( peer::LinkId link, bool up );
 
-    //! Chooses an agent for a target and counts the request as on its way there.
+    //! Chooses an agent for a target and counts the request as in flight there.
     Choice choose( const peer::Target& target, std::uint64_t prefixHash,
                    std::span<const std::string> excluded );
     //! Opens a stream to an agent, waiting for the connection until the deadline; nullptr if down.
     std::shared_ptr<peer::Stream> open( std::string_view vm, std::string_view path,
                                         MonoTime deadline );
-    //! Sends a message on the agent's control stream; false when it can't be taken now.
-    bool tell( std::string_view vm, const peer::Message& message );
+    //! Sends a message on the agent's control stream; false when it can't be sent now.
+    bool sendControl( std::string_view vm, const peer::Message& message );
 
     std::vector<AgentView> agents() const;
-    //! The version of the platform's list in use; 0 before the first.
+    //! The version of the platform's VM list in use; 0 before the first list.
     std::uint64_t listVersion() const;
-    //! Arrivals by model since the last call, as the agents reported them.
+    //! Returns the arrivals by model that agents have reported since the last call.
     std::vector<peer::ModelDemand> takeDemand();
-    //! Makes the control thread look around now.
+    //! Wakes the control thread.
     void wake();
-    //! Connections that are up.
+    //! The number of connections that are up.
     std::size_t upCount() const;
 
 private:
@@ -87,8 +88,8 @@
         AgentView view;
         peer::LinkId link = 0;
         std::shared_ptr<peer::Stream> control;
-        bool lagging = false;               //!< was behind our revision at the last look
-        std::uint32_t inFlight = 0;         //!< requests of this entry that are there
+        bool lagging = false;               //!< was behind this entry's revision at the last check
+        std::uint32_t inFlight = 0;         //!< this entry's requests at the agent
         std::uint32_t inFlightAtReport = 0; //!< the same when the agent last reported
     };
 
@@ -96,18 +97,19 @@
     void run();
     void openControls();
     void readControls();
-    void take( Agent& agent, const std::string& frame, std::vector<peer::ConfigNews>& news );
-    void spreadConfig();
-    void takeStatus( Agent& agent, const peer::AgentStatus& status );
-    void takeLoad( Agent& agent, const peer::LoadReport& load );
-    void exchangeConfig( Agent& agent, config::Revision theirs );
+    void handleMessage( Agent& agent, const std::string& frame,
+                        std::vector<peer::ConfigNews>& updates );
+    void pushConfigToLaggingAgents();
+    void handleStatus( Agent& agent, const peer::AgentStatus& status );
+    void handleLoad( Agent& agent, const peer::LoadReport& load );
+    void exchangeConfig( Agent& agent, config::Revision agentRevision );
     router::Candidate candidate( const Agent& agent, const config::State& state,
                                  const peer::Target& target,
                                  std::span<const std::string> excluded ) const;
     bool canLoad( const Agent& agent, const config::State& state,
                   const peer::Target& target ) const;
 
-    Place m_place;
+    Location m_location;
     peer::Loop& m_loop;
     config::Replica& m_replica;
     RandomSource& m_random;
@@ -119,8 +121,8 @@
     std::map<std::string, Agent, std::less<>> m_agents;
     std::uint64_t m_listVersion = 0;
     std::map<std::string, std::uint32_t> m_demand;
-    MonoTime m_lastSpread;
-    bool m_work = false;
+    MonoTime m_lastConfigPush;
+    bool m_workPending = false;
     bool m_stopping = false;
     std::thread m_thread;
 };
--- a/src/entry/entry.cpp
+++ b/src/entry/entry.cpp
@@ -29,17 +29,17 @@
     { "listen", Kind::address, "0.0.0.0:8080", "Where callers and operators connect to (IP:PORT)" },
     { "max-sessions", Kind::number, "512", "Requests in progress at once", 1, 20000 },
     { "max-body-bytes", Kind::number, "1048576", "Largest body of a request", 1, 67108864 },
-    { "default-deadline-ms", Kind::number, "120000", "Deadline of requests that name none", 1,
+    { "default-deadline-ms", Kind::number, "120000", "Deadline of requests that set none", 1,
       3600000 },
     { "retry-share", Kind::share, "0.1", "Retries as a share of requests" },
     { "lease-ms", Kind::number, "6000", "Length of the planner's lease", 200, 600000 },
     { "plan-interval-ms", Kind::number, "5000", "Time between two plans", 100, 600000 },
-    { "operator-token", Kind::optional, "", "Secret of operators; empty: none is asked for" },
+    { "operator-token", Kind::optional, "", "Operators' token; empty: no token is required" },
     { "plan", Kind::flag, "true", "Whether this entry may hold the planner's lease" },
 } };
 
-//! Connections beyond the session limit, so that refusals and health checks are still answered.
-constexpr std::size_t spareThreads = 64;
+//! HTTP threads beyond the session limit, so that refusals and health checks are still answered.
+constexpr std::size_t reservedThreads = 64;
 
 class Entry {
 public:
@@ -50,11 +50,12 @@
     http::Response handle( const http::Request& request );
     http::Response healthz() const;
     http::Response readyz() const;
-    void takeVms( const std::map<std::string, platform::Object>& objects, std::uint64_t version );
+    void updateVmList( const std::map<std::string, platform::Object>& objects,
+                       std::uint64_t version );
     op::World world();
     config::CommitResult commit( const config::ChangeSet& set, config::Revision base );
-    bool waitForSpread( config::Revision revision, MonoTime deadline );
-    bool spreadTo( config::Revision revision );
+    bool waitForRollout( config::Revision revision, MonoTime deadline );
+    bool isRolledOut( config::Revision revision );
     void listen();
     void registerServices();
     void registerGauges();
@@ -77,20 +78,20 @@
     op::OperatorApi m_operators;
     http::Server m_http;
     std::mutex m_mutex;
-    std::vector<platform::Vm> m_entries; //!< the other entries of the list
+    std::vector<platform::Vm> m_entries; //!< the other live entries of the VM list
     Kernel m_kernel;
 };
 
-Place placeOf( const Settings& settings ) {
+Location locationOf( const Settings& settings ) {
     return { settings.text( "vm" ), settings.text( "hall" ), settings.text( "region" ) };
 }
 
 LeaderSettings leaderSettings( const Settings& settings ) {
     LeaderSettings out;
-    out.place = placeOf( settings );
+    out.location = locationOf( settings );
     out.leaseLength = Millis( settings.number( "lease-ms" ) );
     out.interval = std::min( out.interval, out.leaseLength / 6 );
-    out.settling = out.leaseLength / 2;
+    out.settlingTime = out.leaseLength / 2;
     out.planInterval = Millis( settings.number( "plan-interval-ms" ) );
     return out;
 }
@@ -104,13 +105,13 @@
 
 http::ServerLimits httpLimits( const Settings& settings ) {
     http::ServerLimits out;
-    out.threads = static_cast<std::size_t>( settings.number( "max-sessions" ) ) + spareThreads;
+    out.threads = static_cast<std::size_t>( settings.number( "max-sessions" ) ) + reservedThreads;
     out.bodyBytes = static_cast<std::size_t>( settings.number( "max-body-bytes" ) );
     return out;
 }
 
-//! The answer to requests that the HTTP layer itself turns away.
-http::Response layerError( int status ) {
+//! The response to requests that the HTTP layer rejects.
+http::Response httpLayerError( int status ) {
     constexpr int tooLarge = 413;
     caller::Failure failure;
     failure.reason = status == tooLarge ? caller::Reason::tooLarge : caller::Reason::badRequest;
@@ -126,22 +127,23 @@
       m_follower( m_store, daemon::watchSettings( settings ), m_random, m_replica ),
       m_loop( daemon::loopSettings( settings ),
               []( const std::string&, const std::shared_ptr<peer::Stream>& ) {} ),
-      m_directory( placeOf( settings ), m_loop, m_replica, m_random, m_clock ),
-      m_vms(
-          m_store, { std::string( platform::vmKind ), "" }, daemon::watchSettings( settings ),
-          m_random,
-          [this]( const auto& objects, std::uint64_t version ) { takeVms( objects, version ); } ),
+      m_directory( locationOf( settings ), m_loop, m_replica, m_random, m_clock ),
+      m_vms( m_store, { std::string( platform::vmKind ), "" }, daemon::watchSettings( settings ),
+             m_random,
+             [this]( const auto& objects, std::uint64_t version ) {
+                 updateVmList( objects, version );
+             } ),
       m_budgets( settings.share( "retry-share" ) ), m_context{ m_directory, m_replica, m_budgets,
                                                                m_metrics,   m_clock,   {} },
       m_leader( leaderSettings( settings ), m_store, m_directory, m_replica, m_random, m_clock ),
       m_callers( apiSettings( settings ), m_context, m_random ),
       m_operators(
           { settings.text( "operator-token" ) }, world(),
-          [this]( auto revision, auto deadline ) { return waitForSpread( revision, deadline ); },
+          [this]( auto revision, auto deadline ) { return waitForRollout( revision, deadline ); },
           m_clock ),
       m_http(
           httpLimits( settings ), [this]( const auto& request ) { return handle( request ); },
-          layerError ) {
+          httpLayerError ) {
     m_loop.onLinkChange(
         [this]( peer::LinkId link, bool up ) { m_directory.onLinkChange( link, up ); } );
     m_replica.onChange( [this]( const config::State& ) { m_directory.wake(); } );
@@ -189,8 +191,8 @@
 }
 
 void Entry::listen() {
-    const auto at = settings::splitAddress( m_settings.text( "listen" ) );
-    const int port = m_http.start( at.host, at.port );
+    const auto listenAddress = settings::splitAddress( m_settings.text( "listen" ) );
+    const int port = m_http.start( listenAddress.host, listenAddress.port );
     if( port < 0 ) {
         throw KernelError( "can't listen on listen = " + m_settings.text( "listen" ) );
     }
@@ -233,8 +235,8 @@
     return out;
 }
 
-void Entry::takeVms( const std::map<std::string, platform::Object>& objects,
-                     std::uint64_t version ) {
+void Entry::updateVmList( const std::map<std::string, platform::Object>& objects,
+                          std::uint64_t version ) {
     std::vector<platform::Vm> vms;
     std::vector<platform::Vm> entries;
     for( const auto& it : objects ) {
@@ -276,23 +278,23 @@
 }
 
 config::CommitResult Entry::commit( const config::ChangeSet& set, config::Revision base ) {
-    constexpr Millis patience{ 5000 };
+    constexpr Millis commitTimeout{ 5000 };
     const config::CommitContext context{ m_store, m_replica, m_clock };
-    return config::commit( context, set, base, m_clock.now() + patience );
+    return config::commit( context, set, base, m_clock.now() + commitTimeout );
 }
 
-bool Entry::waitForSpread( config::Revision revision, MonoTime deadline ) {
-    constexpr Millis step{ 50 };
-    while( !spreadTo( revision ) ) {
+bool Entry::waitForRollout( config::Revision revision, MonoTime deadline ) {
+    constexpr Millis pollInterval{ 50 };
+    while( !isRolledOut( revision ) ) {
         if( m_clock.now() >= deadline ) {
             return false;
         }
-        std::this_thread::sleep_for( step );
+        std::this_thread::sleep_for( pollInterval );
     }
     return true;
 }
 
-bool Entry::spreadTo( config::Revision revision ) {
+bool Entry::isRolledOut( config::Revision revision ) {
     for( const auto& it : m_directory.agents() ) {
         if( it.up && ( !it.reported || it.status.revision < revision ) ) {
             return false;
--- a/src/entry/entry.hpp
+++ b/src/entry/entry.hpp
@@ -7,7 +7,7 @@
 
 namespace coursehead::entry {
 
-//! The role `coursehead entry`: serves callers and operators; returns the process's exit code.
+//! Runs the role `coursehead entry` for callers and operators; returns the process's exit code.
 int runEntry( std::span<const std::string> arguments );
 
 } // namespace coursehead::entry
--- a/src/entry/leader.cpp
+++ b/src/entry/leader.cpp
@@ -19,9 +19,9 @@
 using platform::StoreFailure;
 
 namespace {
-//! Agents that share the claim slots; more would only make the assignment larger.
+//! Number of agents that may own claim slots; more owners would only make the assignment larger.
 constexpr std::size_t maxOwners = 32;
-constexpr Millis commitPatience{ 2000 };
+constexpr Millis commitTimeout{ 2000 };
 constexpr std::size_t writeIdDigits = 32;
 } // namespace
 
@@ -29,9 +29,9 @@
                 config::Replica& replica, RandomSource& random, const Clock& clock )
     : m_settings( std::move( settings ) ), m_store( store ), m_directory( directory ),
       m_replica( replica ), m_random( random ), m_clock( clock ),
-      m_leaseName( "planner-" + m_settings.place.region ),
-      m_plans( m_settings.place, directory, replica, clock ), m_plannedAt( clock.now() ) {
-    m_view.self = m_settings.place.vm + "." + random.hex( 8 );
+      m_leaseName( "planner-" + m_settings.location.region ),
+      m_plans( m_settings.location, directory, replica, clock ), m_plannedAt( clock.now() ) {
+    m_view.self = m_settings.location.vm + "." + random.hex( 8 );
     m_view.length = m_settings.leaseLength;
 }
 
@@ -67,14 +67,14 @@
 void Leader::run() {
     for( ;; ) {
         keepLease();
-        if( leading() && m_clock.now() - m_wonAt >= m_settings.settling ) {
+        if( leading() && m_clock.now() - m_leaseWonAt >= m_settings.settlingTime ) {
             assignSlots();
         }
         if( m_clock.now() - m_plannedAt >= m_settings.planInterval ) {
             m_plannedAt = m_clock.now();
             m_plans.observe();
             if( leading() ) {
-                m_plans.round( epoch() );
+                m_plans.planAndSend( epoch() );
             }
         }
         std::unique_lock lock( m_mutex );
@@ -131,7 +131,7 @@
     }
     const bool won = action != LeaseAction::renew;
     if( won ) {
-        m_wonAt = m_clock.now();
+        m_leaseWonAt = m_clock.now();
         log::info( "lease_won", { { "lease", m_leaseName },
                                   { "epoch", static_cast<std::int64_t>( record.epoch ) } } );
     }
@@ -153,25 +153,25 @@
     if( presence.version == 0 || state->revision == 0 ) {
         return;
     }
-    const auto moved = claims::reassign( *state, presence );
-    if( moved.empty() || !leading() ) {
+    const auto movedSlots = claims::reassign( *state, presence );
+    if( movedSlots.empty() || !leading() ) {
         return;
     }
     config::ChangeSet set{ m_random.hex( writeIdDigits ), "planner", {} };
-    for( const auto& it : moved ) {
+    for( const auto& it : movedSlots ) {
         set.changes.push_back( { config::Action::set,
                                  config::Kind::slot,
                                  std::to_string( it.slot ),
                                  { { "vm", it.vm }, { "seen", std::to_string( it.seen ) } } } );
     }
     const config::CommitContext context{ m_store, m_replica, m_clock };
-    const auto done =
-        config::commit( context, set, state->revision, m_clock.now() + commitPatience );
-    log::info(
-        "slots_assigned",
-        { { "slots", static_cast<std::int64_t>( moved.size() ) },
-          { "revision", static_cast<std::int64_t>( done.revision ) },
-          { "committed", done.status == config::CommitStatus::committed ? "true" : "false" } } );
+    const auto commitResult =
+        config::commit( context, set, state->revision, m_clock.now() + commitTimeout );
+    log::info( "slots_assigned",
+               { { "slots", static_cast<std::int64_t>( movedSlots.size() ) },
+                 { "revision", static_cast<std::int64_t>( commitResult.revision ) },
+                 { "committed",
+                   commitResult.status == config::CommitStatus::committed ? "true" : "false" } } );
 }
 
 } // namespace coursehead::entry
--- a/src/entry/leader.hpp
+++ b/src/entry/leader.hpp
@@ -10,14 +10,14 @@
 #include <mutex>
 #include <thread>
 
-//! The planner's duties of the entry that holds its region's lease.
+//! Competes for the region's planner lease; assigns claim slots and sends plans while holding it.
 namespace coursehead::entry {
 
 struct LeaderSettings {
-    Place place;
+    Location location;
     Millis leaseLength{ 6000 };
-    Millis interval{ 1000 }; //!< between rounds
-    Millis settling{ 3000 }; //!< after winning the lease, before slots are given out
+    Millis interval{ 1000 };     //!< between lease checks
+    Millis settlingTime{ 3000 }; //!< after winning the lease, before slots are assigned
     Millis planInterval{ 5000 };
 };
 
@@ -58,7 +58,7 @@
     planner::LeaseView m_view;
     std::condition_variable m_wakeup;
     bool m_stopping = false;
-    MonoTime m_wonAt;
+    MonoTime m_leaseWonAt;
     std::thread m_thread;
 };
 
--- a/src/entry/plan_service.cpp
+++ b/src/entry/plan_service.cpp
@@ -12,8 +12,8 @@
 constexpr double defaultServiceSeconds = 2;
 constexpr double millisPerSecond = 1000;
 
-bool isPlanned( const AgentView& view, const Place& place ) {
-    return view.vm.role == platform::VmRole::runner && view.vm.region == place.region;
+bool isPlanned( const AgentView& view, const Location& location ) {
+    return view.vm.role == platform::VmRole::runner && view.vm.region == location.region;
 }
 
 bool isUsable( const AgentView& view ) {
@@ -21,7 +21,7 @@
            view.vm.state == platform::VmState::live;
 }
 
-//! The mean time that the agents' requests hold their places.
+//! The mean service time that the agents report, in seconds; a default if none reports any.
 double serviceSeconds( const std::vector<AgentView>& views ) {
     double sum = 0;
     double count = 0;
@@ -36,9 +36,9 @@
 
 } // namespace
 
-PlanService::PlanService( Place place, Directory& directory, config::Replica& replica,
+PlanService::PlanService( Location location, Directory& directory, config::Replica& replica,
                           const Clock& clock )
-    : m_place( std::move( place ) ), m_directory( directory ), m_replica( replica ),
+    : m_location( std::move( location ) ), m_directory( directory ), m_replica( replica ),
       m_clock( clock ), m_observedAt( clock.now() ) {}
 
 void PlanService::observe() {
@@ -100,44 +100,44 @@
     return out;
 }
 
-void PlanService::round( std::uint64_t epoch ) {
+void PlanService::planAndSend( std::uint64_t epoch ) {
     const auto state = m_replica.state();
     auto views = m_directory.agents();
-    std::erase_if( views, [this]( const auto& it ) { return !isPlanned( it, m_place ); } );
+    std::erase_if( views, [this]( const auto& it ) { return !isPlanned( it, m_location ); } );
     planner::PlanRules rules;
     rules.weights = state->weights;
     const auto agents = agentInputs( *state, views );
-    auto made = planner::plan( agents, modelInputs( *state, views ), rules );
+    auto result = planner::plan( agents, modelInputs( *state, views ), rules );
     for( std::size_t n = 0; n < views.size(); ++n ) {
         if( agents[n].usable ) {
-            tell( views[n], made.agents[n], epoch );
+            sendPlan( views[n], result.agents[n], epoch );
         }
     }
-    if( made.moves > 0 ) {
+    if( result.moves > 0 ) {
         log::info( "plan", { { "epoch", static_cast<std::int64_t>( epoch ) },
-                             { "moves", static_cast<std::int64_t>( made.moves ) } } );
+                             { "moves", static_cast<std::int64_t>( result.moves ) } } );
         const std::lock_guard lock( m_mutex );
-        m_reasons = std::move( made.reasons );
+        m_reasons = std::move( result.reasons );
     }
 }
 
-void PlanService::tell( const AgentView& view, const planner::AgentPlan& plan,
-                        std::uint64_t epoch ) {
-    auto& told = m_told[view.vm.name];
-    if( told.incarnation == view.status.incarnation && told.epoch == epoch &&
-        told.models == plan.models && told.spares == plan.spares ) {
+void PlanService::sendPlan( const AgentView& view, const planner::AgentPlan& plan,
+                            std::uint64_t epoch ) {
+    auto& lastSent = m_sentPlans[view.vm.name];
+    if( lastSent.incarnation == view.status.incarnation && lastSent.epoch == epoch &&
+        lastSent.models == plan.models && lastSent.spares == plan.spares ) {
         return;
     }
     peer::PlanTargets out;
     out.epoch = epoch;
-    out.planner = m_place.vm;
+    out.planner = m_location.vm;
     out.sequence = ++m_sequence;
     out.spares = plan.spares;
     for( const auto& it : plan.models ) {
         out.items.push_back( { "model", it, "", false } );
     }
-    if( m_directory.tell( view.vm.name, out ) ) {
-        told = { view.status.incarnation, epoch, plan.models, plan.spares };
+    if( m_directory.sendControl( view.vm.name, out ) ) {
+        lastSent = { view.status.incarnation, epoch, plan.models, plan.spares };
     }
 }
 
--- a/src/entry/plan_service.hpp
+++ b/src/entry/plan_service.hpp
@@ -12,21 +12,23 @@
 
 namespace coursehead::entry {
 
-//! Gathers what a plan is made from, and hands the plan to the agents. Used by the leader alone.
+//! Collects the planner's inputs, makes plans and sends them to the agents. Used only by Leader.
 class PlanService {
 public:
-    PlanService( Place place, Directory& directory, config::Replica& replica, const Clock& clock );
+    PlanService( Location location, Directory& directory, config::Replica& replica,
+                 const Clock& clock );
 
-    //! Takes in the demand since the last call; to be called by leaders and others alike.
+    //! Adds the demand since the last call to the rates; called whether or not this entry leads.
     void observe();
-    //! Makes a plan and tells each agent whose part of it is new. `epoch` is the lease's.
-    void round( std::uint64_t epoch );
-    //! Why the last plan placed or dropped copies of a model.
+    //! Makes a plan and sends each agent its part if that has changed. `epoch` is the lease's
+    //! epoch.
+    void planAndSend( std::uint64_t epoch );
+    //! Returns why the last plan with moves placed or dropped copies of a model.
     std::vector<std::string> reasonsFor( const std::string& model ) const;
 
 private:
-    //! What an agent was last told.
-    struct Told {
+    //! The plan last sent to an agent.
+    struct SentPlan {
         std::string incarnation;
         std::uint64_t epoch = 0;
         std::vector<std::string> models;
@@ -37,17 +39,17 @@
                                                   const std::vector<AgentView>& views ) const;
     std::vector<planner::ModelInput> modelInputs( const config::State& state,
                                                   const std::vector<AgentView>& views ) const;
-    void tell( const AgentView& view, const planner::AgentPlan& plan, std::uint64_t epoch );
+    void sendPlan( const AgentView& view, const planner::AgentPlan& plan, std::uint64_t epoch );
 
-    Place m_place;
+    Location m_location;
     Directory& m_directory;
     config::Replica& m_replica;
     const Clock& m_clock;
     std::map<std::string, planner::DemandRate> m_rates;
     MonoTime m_observedAt;
-    std::map<std::string, Told> m_told;
+    std::map<std::string, SentPlan> m_sentPlans;
     std::uint64_t m_sequence = 0;
-    mutable std::mutex m_mutex; //!< guards the reasons
+    mutable std::mutex m_mutex; //!< guards m_reasons
     std::vector<planner::PlanReason> m_reasons;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,9 +16,9 @@
 int usage() {
     std::cerr << "usage: coursehead entry|agent|gateway|sidecar|ctl [--help] [options]\n"
                  "  entry   serves callers and operators\n"
-                 "  agent   stands beside one upstream VM\n"
-                 "  gateway on the users' platform: takes clients' requests\n"
-                 "  sidecar on the users' platform: stands beside an engine\n"
+                 "  agent   runs callers' requests on one upstream VM\n"
+                 "  gateway on the users' platform: accepts clients' requests\n"
+                 "  sidecar on the users' platform: serves one engine\n"
                  "  ctl     the operators' command line\n";
     return exitUsage;
 }
