--- a/include/coursehead/claims/attempts.hpp
+++ b/include/coursehead/claims/attempts.hpp
@@ -9,10 +9,11 @@
 #include <map>
 #include <string>
 
-//! Which attempts an agent has started, finished or barred. Decides "run it" against "never".
+//! The attempts that an agent has started, finished or barred. An attempt is either run once or
+//! barred for good.
 namespace coursehead::claims {
 
-//! An attempt of a request.
+//! Identifies one attempt of a request.
 struct AttemptId {
     std::string requestId;
     std::uint32_t attempt = 0;
@@ -28,17 +29,16 @@
     std::map<AttemptId, AttemptRecord> records;
 };
 
-//! True when the attempt may start now; it is then recorded as started. False when it was barred
-//! or seen before.
+//! Records the attempt as started and returns true, unless it was barred or started before.
 bool start( AttemptTable& table, const AttemptId& id, MonoTime now );
-//! The attempt had not reached the upstream and will not: as if it had been barred.
+//! Bars a started attempt that has not reached the upstream and will not.
 void withdraw( AttemptTable& table, const AttemptId& id, MonoTime now );
 void finish( AttemptTable& table, const AttemptId& id, MonoTime now );
-//! Bars the attempt unless it was started; says what it found.
+//! Bars the attempt unless it was started; returns its state after that.
 peer::AttemptState bar( AttemptTable& table, const AttemptId& id, MonoTime now );
-//! What is known of the attempt; changes nothing.
+//! The recorded state of the attempt, or `unseen`.
 peer::AttemptState look( const AttemptTable& table, const AttemptId& id );
-//! Forgets records that have not changed for `keep`; a started one is kept.
+//! Removes records that have not changed for `keep`, except those of attempts still running.
 void forget( AttemptTable& table, MonoTime now, Millis keep );
 
 } // namespace coursehead::claims
--- a/include/coursehead/claims/key.hpp
+++ b/include/coursehead/claims/key.hpp
@@ -10,21 +10,21 @@
 #include <string>
 #include <string_view>
 
-//! Idempotency keys: UUIDs of version 7 (RFC 9562), which carry the time they were made.
+//! Idempotency keys: UUIDs of version 7 (RFC 9562), which contain the time of their creation.
 namespace coursehead::claims {
 
-//! Slots that keys are spread over; each has one owner among the agents.
+//! Number of slots that keys are hashed to; each slot is owned by one agent.
 inline constexpr std::uint32_t slotCount = 256;
 
-//! The time in a UUIDv7, in milliseconds since the Unix epoch; empty when the text is not one.
+//! The time in a UUIDv7, in milliseconds since the Unix epoch; empty when `key` is not a UUIDv7.
 std::optional<WallMillis> keyTime( std::string_view key );
-//! The slot a key belongs to.
+//! The slot that a key belongs to, independent of the case of its letters.
 std::uint32_t slotOf( std::string_view key );
-//! The VM that owns the slot; empty when it has none.
+//! The VM that owns the slot; empty when the slot has no owner.
 std::string_view ownerOf( const config::State& state, std::uint32_t slot );
-//! A fresh UUIDv7.
+//! Creates a new UUIDv7.
 std::string makeKey( WallMillis now, RandomSource& random );
-//! Hash of what a request asks for, to tell a retry from a different request under the same key.
+//! Hash of method, path and body, to tell a retry from a different request under the same key.
 std::string fingerprint( std::string_view method, std::string_view path, std::string_view body );
 
 } // namespace coursehead::claims
--- a/include/coursehead/claims/table.hpp
+++ b/include/coursehead/claims/table.hpp
@@ -10,17 +10,17 @@
 #include <string>
 
 /**
- * The claims of the slots that one agent owns: which request holds a key, and how it ended. Kept
- * in memory only. What makes that safe: a slot changes its owner only when the old owner's VM is
- * gone for good, and a new owner (or a restarted process) answers `unknown` for every key that
- * was made before it began.
+ * The claims in the slots that one agent owns: which request holds a key, and how it ended. They
+ * are kept in memory only. This is safe because a slot changes its owner only when the old owner's
+ * VM is gone for good, and because a new owner (or a restarted process) answers `unknown` for every
+ * key that was created before its ownership started.
  */
 namespace coursehead::claims {
 
 struct ClaimRules {
-    Millis window{ 600000 };              //!< keys older than this are answered `unknown`
-    Millis skew{ 2000 };                  //!< how far callers' clocks may be off
-    std::size_t answerBytes = 64U << 10U; //!< larger answers are not kept
+    Millis window{ 600000 };                 //!< keys older than this are answered `unknown`
+    Millis skew{ 2000 };                     //!< largest error assumed of callers' clocks
+    std::size_t maxAnswerBytes = 64U << 10U; //!< larger answers are not kept
 };
 
 struct ClaimRecord {
@@ -30,35 +30,37 @@
     int status = 0;
     std::string contentType;
     std::string body;
-    WallMillis made = 0; //!< the key's own time
+    WallMillis made = 0; //!< the creation time in the key
 };
 
 struct ClaimTable {
     std::map<std::string, ClaimRecord, std::less<>> records;
-    //! By slot: the time from which on this process has owned it without a gap.
+    //! By slot: the time since which this process has owned the slot without interruption.
     std::map<std::uint32_t, WallMillis> ownedSince;
 };
 
-//! Takes over the slots that the state gives to `vm` and drops those it gives to others.
+//! Takes over the slots that the state assigns to `vm` and drops the claims of all other
+//! slots.
 void updateOwnership( ClaimTable& table, const config::State& state, std::string_view vm,
                       WallMillis now );
 
-//! Answers one step of a request under a key.
+//! Processes one step (claim, move or resolve) of a request under a key.
 peer::ClaimAnswer answer( ClaimTable& table, const peer::ClaimRequest& request,
                           const ClaimRules& rules, WallMillis now );
 
-//! Forgets keys that are past the window, which are refused by their time alone.
+//! Removes keys long past the window; such keys are refused because of their creation time.
 void forget( ClaimTable& table, const ClaimRules& rules, WallMillis now );
 
-//! The VM list as the planner sees it.
+//! The VM list as read by the planner.
 struct Presence {
     std::uint64_t version = 0;        //!< of the listing
     std::vector<std::string> members; //!< VMs that may become owners
-    std::vector<std::string> present; //!< every VM listed, leaving ones too
+    std::vector<std::string> present; //!< every VM listed, including those that are leaving
 };
 
-//! The slots that need a new owner, with the owner chosen by rendezvous hashing: slots without one,
-//! and slots whose owner's absence from the list proves that its VM is gone.
+//! Returns the slots that need a new owner, with an owner chosen by rendezvous hashing: slots
+//! without an owner, and slots whose owner is missing from a VM list recent enough to prove that it
+//! is gone.
 std::vector<config::ClaimSlot> reassign( const config::State& state, const Presence& presence );
 
 } // namespace coursehead::claims
--- a/include/coursehead/engine/engine.hpp
+++ b/include/coursehead/engine/engine.hpp
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-//! The upstream's published protocols: a model engine's completions, orders and status, and a plain
-//! service's HTTP.
+//! Client for the protocols of an upstream: the completions, orders and status of a model engine,
+//! and the plain HTTP of a service.
 namespace coursehead::engine {
 
 //! A fencing token: an agent's epoch, and the order's number within it.
@@ -20,18 +20,18 @@
     ledger::OrderNumber number = 0;
 };
 
-//! What the engine reports about itself.
+//! The engine's status report.
 struct Status {
     bool ok = false;
-    Token applied; //!< the highest token it has seen (0 when it does not check tokens)
+    Token applied; //!< highest token that the engine has seen (0 if it does not check tokens)
     std::vector<ledger::ReportedItem> items;
-    std::vector<std::uint64_t> capacity; //!< bytes of each accelerator
+    std::vector<std::uint64_t> capacity; //!< bytes on each accelerator
 };
 
 enum class OrderOutcome {
     done,
-    refused, //!< the engine said that it did not and will not act
-    unknown, //!< no answer, or none that can be trusted
+    refused, //!< the order was not and will not be executed: not sent, or rejected
+    unknown, //!< no answer, a broken one or a server error: the order may be executed
 };
 
 //! A generation to run.
@@ -42,16 +42,16 @@
     std::string model;
     std::string version;
     std::string adapter;
-    std::string prefix; //!< text to continue behind
+    std::string prefix; //!< text already generated, after which the engine continues
     int priority = 0;
 };
 
 enum class GenerationEnd {
     complete,
-    notSent,   //!< the engine never saw it
-    rejected,  //!< the engine answered with an error before any work
-    cut,       //!< broken, silent for too long, or its answer was not this request's
-    cancelled, //!< we stopped it
+    notSent,   //!< the request did not reach the engine
+    rejected,  //!< the engine answered with an error status before generating
+    cut,       //!< connection broken, engine silent too long, or an event of another request
+    cancelled, //!< stopped by the caller of generate()
 };
 
 struct GenerationResult {
@@ -64,29 +64,30 @@
     std::uint64_t crossed = 0; //!< events of other requests that were dropped
 };
 
-//! Takes a piece of text; false cancels the generation.
+//! Receives a piece of generated text; returns false to cancel the generation.
 using TextHandler = std::function<bool( std::string_view text )>;
 
-//! One engine behind a URL. The functions open a connection of their own and may run in parallel.
+//! The engine at a URL. Each function opens its own connection, so calls may run in parallel.
 struct Endpoint {
     std::string url;
-    Millis silence{ 30000 };       //!< the longest wait for the next token
-    Millis orderPatience{ 60000 }; //!< the longest wait for an order's answer
+    Millis silence{ 30000 };      //!< the longest wait for the next token
+    Millis orderTimeout{ 60000 }; //!< the longest wait for the answer to an order
 };
 
 Status readStatus( const Endpoint& endpoint );
 OrderOutcome sendOrder( const Endpoint& endpoint, const Token& token, const ledger::Order& order );
-//! Makes every earlier token invalid at an engine that checks them.
+//! Makes an engine that checks tokens refuse every token earlier than this one.
 OrderOutcome sendFence( const Endpoint& endpoint, const Token& token );
 GenerationResult generate( const Endpoint& endpoint, const Generation& generation,
                            const TextHandler& handler );
-//! Tells the engine that an answer is no longer wanted; best effort.
+//! Asks the engine to stop generating an answer that is no longer needed; best effort.
 void cancel( const Endpoint& endpoint, std::string_view requestId );
 
-//! Reads the Server-Sent Events of a stream: hands over the data of each event.
+//! Parses a stream of Server-Sent Events.
 class EventReader {
 public:
-    //! False when the handler asked to stop.
+    //! Passes the data of each complete `data:` line to the handler, until the handler returns
+    //! false. Returns false in that case.
     bool feed( std::string_view bytes,
                const std::function<bool( std::string_view data )>& handler );
 
--- a/include/coursehead/ledger/protocol.hpp
+++ b/include/coursehead/ledger/protocol.hpp
@@ -5,31 +5,32 @@
 #include "coursehead/ledger/steps.hpp"
 
 /**
- * The order in which an agent may act on its upstream: take an epoch, make sure that no earlier
- * order can still take effect, read the upstream's report, then one order at a time; after an order
- * of unknown outcome, the same again. Pure: the caller carries the instructions out.
+ * The sequence in which an agent may act on its upstream: take an epoch, make sure that no earlier
+ * order can still take effect, read the upstream's report, then send one order at a time. After an
+ * order of unknown outcome, the fence and the report are repeated. Pure functions: the caller
+ * carries out the instructions.
  */
 namespace coursehead::ledger {
 
 struct OrderProtocol {
     Ledger ledger;
-    std::vector<std::uint64_t> capacity; //!< bytes of each accelerator
-    bool checksOrders = false;           //!< the upstream refuses older fencing tokens
-    Millis lateness{ 0 };                //!< otherwise: the latest an order can still take effect
-    Millis reportInterval{ 5000 };       //!< how often the upstream's report is compared
-    std::uint64_t epoch = 0;             //!< 0: none taken yet
-    MonoTime began;                      //!< when this process began
-    MonoTime lastSent;                   //!< when the latest order was sent
+    std::vector<std::uint64_t> capacity; //!< bytes on each accelerator
+    bool checksOrders = false;           //!< the upstream refuses orders with older fencing tokens
+    Millis lateness{ 0 };          //!< if it does not: longest delay until an order takes effect
+    Millis reportInterval{ 5000 }; //!< how often the upstream's report is read
+    std::uint64_t epoch = 0;       //!< 0: none taken yet
+    MonoTime began;                //!< when this process started
+    MonoTime lastSent;             //!< when the latest order was sent
     MonoTime lastReport;
     bool fenced = false;  //!< no earlier order can take effect any more
-    bool adopted = false; //!< the ledger stands on a decisive report
+    bool adopted = false; //!< the ledger was built from a decisive report
 };
 
 enum class InstructionKind {
     takeEpoch,
     fence,      //!< send a fence with number `number`
-    readReport, //!< ask the upstream what it holds
-    wait,       //!< nothing may be done before `wait` is over
+    readReport, //!< read the upstream's report of the items it holds
+    wait,       //!< do nothing for the duration `wait`
     order,      //!< send `order`
     idle,       //!< nothing to do
 };
@@ -43,22 +44,24 @@
 
 enum class OrderResult { done, refused, unknown };
 
-//! What to do next.
+//! Returns the next instruction. If it is an order, records it in the ledger.
 Instruction nextInstruction( OrderProtocol& protocol, std::span<const Wanted> wanted,
                              std::span<const Usage> usage, const StepRules& rules, MonoTime now );
 
+//! Starts a new epoch: earlier orders are no longer known to be fenced off.
 void epochTaken( OrderProtocol& protocol, std::uint64_t epoch );
-//! The upstream acknowledged a fence.
+//! Records that the upstream acknowledged a fence.
 void fenceDone( OrderProtocol& protocol );
-//! A report that was asked for after everything before it had ended.
+//! Processes a report that was requested after every earlier instruction had ended.
 void reportRead( OrderProtocol& protocol, std::span<const ReportedItem> items, MonoTime now );
-//! An order ended. `sentAt` is when it went out.
+//! Records the result of an order that was sent at `sentAt`.
 void orderEnded( OrderProtocol& protocol, OrderNumber number, OrderResult result, MonoTime sentAt );
 
-//! True once the agent gives orders.
+//! True once the agent may send orders.
 bool mayOrder( const OrderProtocol& protocol );
-//! The rules with the residency that the upstream's lateness asks for.
-StepRules safeRules( const OrderProtocol& protocol, StepRules rules );
+//! The rules with a minimum residency longer than the order lateness of an upstream that does not
+//! check orders.
+StepRules effectiveRules( const OrderProtocol& protocol, StepRules rules );
 
 } // namespace coursehead::ledger
 
--- a/include/coursehead/ledger/steps.hpp
+++ b/include/coursehead/ledger/steps.hpp
@@ -4,14 +4,14 @@
 
 #include "coursehead/ledger/ledger.hpp"
 
-//! Chooses an agent's next order from what should be resident and what is.
+//! Chooses an agent's next order by comparing the wanted items with the resident ones.
 namespace coursehead::ledger {
 
-//! Something that should be resident.
+//! An item that should be resident.
 struct Wanted {
     Footprint footprint;
     bool waiting = false; //!< requests wait for it now
-    bool spare = false;   //!< there are other copies elsewhere
+    bool spare = false;   //!< other agents hold copies too
 };
 
 //! How a resident item is being used.
@@ -22,23 +22,25 @@
     MonoTime lastUsed;
 };
 
-//! What bounds the choice.
+//! Rules for the choice of the next order.
 struct StepRules {
-    //! A load younger than this is not undone. On upstreams that do not check orders this is at
-    //! least their order lateness, so that a late duplicate of the load can't follow the unload.
+    //! An item is not unloaded sooner than this after its load order. For upstreams that do not
+    //! check orders it exceeds their order lateness, so that a late duplicate of the load order
+    //! can't take effect after the unload.
     Millis minResidency{ 10000 };
-    bool allowUnwanted = true; //!< keep items nobody wants while there is room
-    std::vector<Item> deleted; //!< items that no longer exist: dropped as soon as they are idle
+    bool allowUnwanted = true; //!< keep unwanted items until their memory is needed
+    std::vector<Item> deleted; //!< items deleted from the configuration: unloaded once idle
 };
 
-//! The next order; empty when there is nothing to do or nothing possible. Charges the ledger.
+//! Returns the next order and records it in the ledger; empty when no order is needed or possible.
 std::optional<Order> nextStep( Ledger& ledger, std::span<const Wanted> wanted,
                                std::span<const Usage> usage, const StepRules& rules, MonoTime now );
 
 /**
- * The busy items that should take no new requests, so that they become idle and can go: those that
- * nobody wants here any more and, for a load that requests wait for, spare copies. Empty when
- * nothing is missing, when idle items suffice, or when even that would not make room.
+ * The busy items that should take no new requests, so that they become idle and can be unloaded:
+ * unwanted items and, for a load that requests wait for, spare copies. Empty when no wanted item is
+ * missing, when unloading idle items frees enough memory, or when unloading the busy items too
+ * would not free enough.
  */
 std::vector<Item> retiring( const Ledger& ledger, std::span<const Wanted> wanted,
                             std::span<const Usage> usage, const StepRules& rules, MonoTime now );
--- a/include/coursehead/metrics/metrics.hpp
+++ b/include/coursehead/metrics/metrics.hpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <string_view>
 
-//! What a process measures: histograms by class and caller, counters and gauges.
+//! The metrics of a process: histograms by class and caller, counters and gauges.
 namespace coursehead::metrics {
 
-//! The histograms that exist; all in milliseconds.
+//! The histograms; all values are in milliseconds.
 enum class Series { firstToken, betweenTokens, request };
 
 class Metrics {
@@ -21,15 +21,15 @@
     Metrics( const Metrics& ) = delete;
     Metrics& operator=( const Metrics& ) = delete;
 
-    //! Adds a value in milliseconds. Past a bound on distinct callers, further ones count as
-    //! "other", so that callers can't fill the memory.
+    //! Adds a value in milliseconds. The number of distinct callers is bounded, so that callers
+    //! can't exhaust the memory; further callers count as "other".
     void observe( Series series, std::string_view requestClass, std::string_view caller,
                   double ms );
-    //! Counts one event, or `n` of something, by a reason or outcome.
+    //! Adds `n` to a counter, labelled with a reason or outcome.
     void count( std::string_view name, std::string_view reason = {}, std::uint64_t n = 1 );
-    //! Registers a value that is read at each scrape.
+    //! Registers a gauge whose value is read at each scrape.
     void gauge( std::string name, std::function<double()> read );
-    //! Everything in Prometheus' text format.
+    //! All metrics in the Prometheus text format.
     std::string prometheus() const;
 
 private:
--- a/include/coursehead/planner/lease.hpp
+++ b/include/coursehead/planner/lease.hpp
@@ -8,20 +8,21 @@
 #include <string>
 
 /**
- * The planner's lease, decided without comparing clocks of two machines: a rival may take the lease
- * over only after it has itself seen the lease object unchanged for the lease's whole length; the
- * holder counts from before it sent its last renewal, and stops itself earlier.
+ * The planner's lease, which does not depend on comparing the clocks of two VMs. Another process
+ * may take over the lease only after it has itself seen the lease object unchanged for the full
+ * length of the lease. The holder counts from the time before it sent its last renewal and stops
+ * acting earlier than that.
  */
 namespace coursehead::planner {
 
-//! What the lease object holds.
+//! The contents of the lease object.
 struct LeaseRecord {
     std::string holder;
-    std::uint64_t epoch = 0; //!< goes up each time the lease changes hands
+    std::uint64_t epoch = 0; //!< increased each time a process takes the lease
     std::uint64_t renewals = 0;
 };
 
-//! What one process knows about the lease.
+//! One process's knowledge of the lease.
 struct LeaseView {
     std::string self;
     Millis length{ 6000 };
@@ -29,23 +30,23 @@
     bool exists = false;
     LeaseRecord record;
     std::uint64_t version = 0; //!< of the object
-    MonoTime seenAt;           //!< when this version was first seen
-    MonoTime renewedAt;        //!< when our last successful write was sent
+    MonoTime unchangedSince;   //!< when this version was first seen
+    MonoTime renewedAt;        //!< when the last successful write of this process was sent
     bool held = false;
 };
 
 enum class LeaseAction { wait, create, renew, takeOver };
 
-//! Notes what a read returned.
+//! Records the result of reading the lease object.
 void observe( LeaseView& view, bool exists, const LeaseRecord& record, std::uint64_t version,
               MonoTime now );
-//! Notes a successful write of ours that was sent at `sentAt`.
+//! Records a successful write by this process that was sent at `sentAt`.
 void wrote( LeaseView& view, const LeaseRecord& record, std::uint64_t version, MonoTime sentAt );
-//! What to do next.
+//! The next action of this process on the lease.
 LeaseAction nextAction( const LeaseView& view, MonoTime now );
-//! The record that the action would write.
+//! The record to write for `action`.
 LeaseRecord nextRecord( const LeaseView& view, LeaseAction action );
-//! True while we may act as the holder; to be asked before every act.
+//! True while this process may act as the holder; to be checked before every action.
 bool mayAct( const LeaseView& view, MonoTime now );
 
 } // namespace coursehead::planner
--- a/include/coursehead/planner/plan.hpp
+++ b/include/coursehead/planner/plan.hpp
@@ -10,48 +10,48 @@
 #include <vector>
 
 /**
- * The plan: which models each agent should hold. A pure function of what is resident, what is
- * asked for and what the operators configured. It weighs requests answered within target against
- * moves: a copy is added only when what it gains over the horizon is worth the moves it takes.
+ * The plan: which models each agent should hold. A pure function of the resident models, the demand
+ * and the configuration. It weighs requests answered within target against moves (loads and
+ * unloads): a copy is added only when its gain over the horizon exceeds the cost of its moves.
  */
 namespace coursehead::planner {
 
-//! An agent and what it holds.
+//! An agent and the models it holds.
 struct AgentInput {
     std::string vm;
     std::string hall;
     std::uint32_t accelerators = 0;
-    std::uint64_t memory = 0;        //!< bytes an accelerator holds
-    bool usable = true;              //!< reachable, not leaving, gives orders
-    std::vector<std::string> models; //!< resident or on their way
+    std::uint64_t memory = 0;        //!< bytes on each accelerator
+    bool usable = true;              //!< reachable, not leaving, and sends orders
+    std::vector<std::string> models; //!< resident or loading
 };
 
-//! A model and what is asked of it.
+//! A model and the demand for it.
 struct ModelInput {
     std::string name;
     std::uint64_t bytes = 0; //!< on each of its accelerators
     std::uint32_t accelerators = 1;
     std::uint32_t replicas = 1;
-    double rate = 0;           //!< requests a second
-    double serviceSeconds = 1; //!< time a request holds a place
-    double priority = 0;       //!< of its class, 0 to 9: weighs its requests
+    double rate = 0;           //!< requests per second
+    double serviceSeconds = 1; //!< time for which a request runs
+    double priority = 0;       //!< of its class, 0 to 9: weight of its requests
 };
 
 struct PlanRules {
     config::Weights weights;
-    double horizonSeconds = 600;   //!< time over which a move has to pay
-    double placesPerCopy = 12;     //!< parallel requests that one copy serves within target
-    double fill = 0.7;             //!< share of those places that is planned for
-    std::uint32_t moveBudget = 16; //!< loads and unloads that one plan may ask for
+    double horizonSeconds = 600;     //!< time over which the gain of a move must exceed its cost
+    double requestsPerCopy = 12;     //!< parallel requests that one copy serves within target
+    double plannedUtilisation = 0.7; //!< share of requestsPerCopy that is planned for
+    std::uint32_t moveBudget = 16; //!< no copy is added once a plan has this many loads and unloads
 };
 
 struct AgentPlan {
     std::string vm;
     std::vector<std::string> models; //!< sorted
-    std::vector<std::string> spares; //!< of these, the ones with copies elsewhere
+    std::vector<std::string> spares; //!< those of `models` that other agents hold too
 };
 
-//! Why a model gets or loses a copy.
+//! The reason for adding or removing a copy of a model.
 struct PlanReason {
     std::string model;
     std::string vm;
@@ -61,18 +61,20 @@
 struct Plan {
     std::vector<AgentPlan> agents; //!< in the order of the input
     std::vector<PlanReason> reasons;
-    std::uint32_t moves = 0; //!< loads and unloads against what is resident
+    std::uint32_t moves = 0; //!< loads and unloads that lead from the resident models to the plan
 };
 
 Plan plan( std::span<const AgentInput> agents, std::span<const ModelInput> models,
            const PlanRules& rules );
 
-//! A smoothed rate that follows a rise at once and a fall slowly.
+//! A smoothed request rate that follows a rise quickly and a fall slowly.
 struct DemandRate {
-    double fast = 0; //!< requests a second, smoothed over half a minute
-    double slow = 0; //!< the same over ten minutes
+    double fast = 0; //!< requests per second, smoothed over 30 s
+    double slow = 0; //!< the same, smoothed over 10 min
 };
+//! Updates the rate with the number of arrivals in the last `seconds`.
 void observe( DemandRate& rate, double arrivals, double seconds );
+//! The larger of the two smoothed rates.
 double estimate( const DemandRate& rate );
 
 } // namespace coursehead::planner
--- a/include/coursehead/router/admission.hpp
+++ b/include/coursehead/router/admission.hpp
@@ -6,36 +6,37 @@
 
 #include <cstdint>
 
-//! Whether to take a request in, decided at once from what is known.
+//! Admission control: decides immediately, from the current queue, whether to accept a request.
 namespace coursehead::router {
 
-//! What a queue in front of `capacity` parallel places looks like.
+//! The state of a queue for an upstream that runs up to `capacity` requests in parallel.
 struct QueueView {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint32_t capacity = 1;
     std::uint32_t queueLimit = 0;
-    Millis serviceTime{ 0 }; //!< smoothed time that one request holds a place
+    Millis serviceTime{ 0 }; //!< smoothed time for which one request runs
 };
 
 struct Admission {
     bool admitted = false;
-    Millis retryAfter{ 0 }; //!< when refused: when a place should be free
+    Millis retryAfter{ 0 }; //!< if refused: the expected wait, within bounds
 };
 
-//! How long a request that joins the queue now would wait.
+//! The expected wait of a request that joins the queue now.
 Millis expectedWait( const QueueView& queue );
 
 /**
- * Admits when a place is free, or when the queue has room and the expected wait is within the
- * request's patience: its deadline or its class's target for the first token, whichever is less. A
- * request that would start too late only takes the place of one that would not.
- * Low priorities see a shorter queue, so that they are shed first; `priority` runs from 0 to 9.
+ * Admits a request when it can run at once, or when the queue is not full and the expected wait is
+ * less than `maxWait`: the request's deadline or its class's target for the first token, whichever
+ * is less. A request that would start too late is refused, as it would only displace one that could
+ * start in time. Low priorities have a shorter queue limit, so that they are shed first; `priority`
+ * ranges from 0 to 9.
  */
-Admission admit( const QueueView& queue, int priority, Millis patience );
+Admission admit( const QueueView& queue, int priority, Millis maxWait );
 
-//! Smooths the time that a request held its place.
-Millis smooth( Millis before, Millis sample );
+//! Exponential moving average of the time for which requests run.
+Millis smooth( Millis previous, Millis sample );
 
 } // namespace coursehead::router
 
--- a/include/coursehead/router/budget.hpp
+++ b/include/coursehead/router/budget.hpp
@@ -2,29 +2,29 @@
 #ifndef COURSEHEAD_ROUTER_BUDGET_HPP_INCLUDED
 #define COURSEHEAD_ROUTER_BUDGET_HPP_INCLUDED
 
-//! The retry budget: retries may add at most a share of the requests seen.
+//! The retry budget: limits retries to a share of the first attempts, plus a bounded balance.
 namespace coursehead::router {
 
 struct RetryBudget {
-    double share = 0.1; //!< retries per request
-    double most = 20.0; //!< retries saved up at the most
-    double saved = 5.0;
+    double share = 0.1;       //!< retries earned by each first attempt
+    double maxBalance = 20.0; //!< upper bound of the balance
+    double balance = 5.0;
 };
 
-//! Counts a first attempt.
+//! Credits the budget for a first attempt.
 inline void earn( RetryBudget& budget ) noexcept {
-    budget.saved += budget.share;
-    if( budget.saved > budget.most ) {
-        budget.saved = budget.most;
+    budget.balance += budget.share;
+    if( budget.balance > budget.maxBalance ) {
+        budget.balance = budget.maxBalance;
     }
 }
 
-//! Takes one retry; false when the budget is used up.
+//! Debits one retry; false when the budget is exhausted.
 inline bool spend( RetryBudget& budget ) noexcept {
-    if( budget.saved < 1.0 ) {
+    if( budget.balance < 1.0 ) {
         return false;
     }
-    budget.saved -= 1.0;
+    budget.balance -= 1.0;
     return true;
 }
 
--- a/src/claims/key.cpp
+++ b/src/claims/key.cpp
@@ -12,34 +12,34 @@
 namespace {
 
 constexpr std::size_t keyLength = 36;
-constexpr std::array<std::size_t, 4> dashes{ 8, 13, 18, 23 };
-constexpr std::size_t versionAt = 14;
-constexpr std::size_t variantAt = 19;
+constexpr std::array<std::size_t, 4> dashPositions{ 8, 13, 18, 23 };
+constexpr std::size_t versionPosition = 14;
+constexpr std::size_t variantPosition = 19;
 constexpr std::size_t timeDigits = 12;
 
 bool isDash( std::size_t n ) {
-    return std::find( dashes.begin(), dashes.end(), n ) != dashes.end();
+    return std::find( dashPositions.begin(), dashPositions.end(), n ) != dashPositions.end();
 }
 
-std::int64_t digit( char c ) {
+std::int64_t hexValue( char c ) {
     constexpr int ten = 10;
     return c <= '9' ? c - '0' : std::tolower( static_cast<unsigned char>( c ) ) - 'a' + ten;
 }
 
 bool isKey( std::string_view key ) {
-    if( key.size() != keyLength || key[versionAt] != '7' ) {
+    if( key.size() != keyLength || key[versionPosition] != '7' ) {
         return false;
     }
     for( std::size_t n = 0; n < key.size(); ++n ) {
-        const bool good = isDash( n ) ? key[n] == '-'
-                                      : std::isxdigit( static_cast<unsigned char>( key[n] ) ) != 0;
-        if( !good ) {
+        const bool valid = isDash( n ) ? key[n] == '-'
+                                       : std::isxdigit( static_cast<unsigned char>( key[n] ) ) != 0;
+        if( !valid ) {
             return false;
         }
     }
     constexpr std::int64_t variantLow = 8;
     constexpr std::int64_t variantHigh = 11;
-    const auto variant = digit( key[variantAt] );
+    const auto variant = hexValue( key[variantPosition] );
     return variant >= variantLow && variant <= variantHigh;
 }
 
@@ -58,18 +58,18 @@
     }
     constexpr std::int64_t radix = 16;
     std::int64_t out = 0;
-    std::size_t taken = 0;
-    for( std::size_t n = 0; taken < timeDigits; ++n ) {
+    std::size_t digitsRead = 0;
+    for( std::size_t n = 0; digitsRead < timeDigits; ++n ) {
         if( !isDash( n ) ) {
-            out = out * radix + digit( key[n] );
-            ++taken;
+            out = out * radix + hexValue( key[n] );
+            ++digitsRead;
         }
     }
     return out;
 }
 
 std::uint32_t slotOf( std::string_view key ) {
-    // Callers may write the same UUID in either case.
+    // Callers may write the same UUID in upper or lower case.
     return static_cast<std::uint32_t>( hash64( lower( key ) ) % slotCount );
 }
 
--- a/src/claims/table.cpp
+++ b/src/claims/table.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-ClaimAnswer verdict( ClaimVerdict what ) {
+ClaimAnswer makeAnswer( ClaimVerdict verdict ) {
     ClaimAnswer out;
-    out.verdict = what;
+    out.verdict = verdict;
     return out;
 }
 
@@ -35,9 +35,10 @@
     return a.requestId == b.requestId;
 }
 
-//! Refusals that follow from the key's time and slot alone; granted when there are none.
-ClaimVerdict screen( const ClaimTable& table, std::string_view key, WallMillis made,
-                     const ClaimRules& rules, WallMillis now ) {
+//! Checks the key's slot and creation time, without the records; `granted` when they allow the
+//! request.
+ClaimVerdict precheck( const ClaimTable& table, std::string_view key, WallMillis made,
+                       const ClaimRules& rules, WallMillis now ) {
     const auto owned = table.ownedSince.find( slotOf( key ) );
     if( owned == table.ownedSince.end() ) {
         return ClaimVerdict::notOwner;
@@ -45,11 +46,11 @@
     if( made > now + rules.skew.count() ) {
         return ClaimVerdict::early;
     }
-    // A key made before we began, by a clock that may be ahead, may have run under an earlier
-    // owner.
-    const bool beforeUs = made <= owned->second + rules.skew.count();
+    // A request whose key is older than this ownership may have run under an earlier owner. The
+    // caller's clock may be ahead, hence the skew.
+    const bool beforeOwnership = made <= owned->second + rules.skew.count();
     const bool tooOld = made < now - rules.window.count();
-    return beforeUs || tooOld ? ClaimVerdict::unknown : ClaimVerdict::granted;
+    return beforeOwnership || tooOld ? ClaimVerdict::unknown : ClaimVerdict::granted;
 }
 
 ClaimAnswer claim( ClaimTable& table, const ClaimRequest& request, WallMillis made ) {
@@ -60,75 +61,75 @@
         record.holder = request.holder;
         record.made = made;
         table.records.emplace( request.key, std::move( record ) );
-        return verdict( ClaimVerdict::granted );
+        return makeAnswer( ClaimVerdict::granted );
     }
     if( found->second.fingerprint != request.fingerprint ) {
-        return verdict( ClaimVerdict::mismatch );
+        return makeAnswer( ClaimVerdict::mismatch );
     }
-    // The same request asking again lost our first answer.
-    const bool again = found->second.state == ClaimVerdict::busy &&
-                       sameRequest( found->second.holder, request.holder ) &&
-                       found->second.holder.attempt == request.holder.attempt;
-    return again ? verdict( ClaimVerdict::granted ) : describe( found->second );
+    // The same attempt claims again when the first answer to it was lost.
+    const bool isRepeat = found->second.state == ClaimVerdict::busy &&
+                          sameRequest( found->second.holder, request.holder ) &&
+                          found->second.holder.attempt == request.holder.attempt;
+    return isRepeat ? makeAnswer( ClaimVerdict::granted ) : describe( found->second );
 }
 
 ClaimAnswer move( ClaimTable& table, const ClaimRequest& request ) {
     const auto found = table.records.find( request.key );
     if( found == table.records.end() ) {
-        return verdict( ClaimVerdict::unknown );
+        return makeAnswer( ClaimVerdict::unknown );
     }
-    // Only the attempt that directly follows the barred one may take over, so that of two callers
-    // who both saw the bar one loses.
+    // Only the attempt that directly follows the barred one may take over the claim. If two callers
+    // learn that the attempt was barred, only one of them succeeds.
     auto& record = found->second;
     if( record.state != ClaimVerdict::busy ||
         request.holder.attempt != record.holder.attempt + 1 ) {
         return describe( record );
     }
     record.holder = request.holder;
-    return verdict( ClaimVerdict::granted );
+    return makeAnswer( ClaimVerdict::granted );
 }
 
 ClaimAnswer resolve( ClaimTable& table, const ClaimRequest& request, const ClaimRules& rules ) {
     const auto found = table.records.find( request.key );
     if( found == table.records.end() ) {
-        return verdict( ClaimVerdict::unknown );
+        return makeAnswer( ClaimVerdict::unknown );
     }
     auto& record = found->second;
-    const bool holds = sameRequest( record.holder, request.holder ) &&
-                       record.holder.attempt == request.holder.attempt;
-    if( record.state != ClaimVerdict::busy || !holds ) {
+    const bool isHolder = sameRequest( record.holder, request.holder ) &&
+                          record.holder.attempt == request.holder.attempt;
+    if( record.state != ClaimVerdict::busy || !isHolder ) {
         return describe( record );
     }
     if( request.outcome == ClaimOutcome::notRun ) {
         table.records.erase( found );
-        return verdict( ClaimVerdict::granted );
+        return makeAnswer( ClaimVerdict::granted );
     }
-    const bool keep =
-        request.outcome == ClaimOutcome::finished && request.body.size() <= rules.answerBytes;
-    record.state = keep ? ClaimVerdict::finished : ClaimVerdict::unknown;
-    if( keep ) {
+    const bool keepAnswer =
+        request.outcome == ClaimOutcome::finished && request.body.size() <= rules.maxAnswerBytes;
+    record.state = keepAnswer ? ClaimVerdict::finished : ClaimVerdict::unknown;
+    if( keepAnswer ) {
         record.status = request.status;
         record.contentType = request.contentType;
         record.body = request.body;
     }
-    return verdict( ClaimVerdict::granted );
+    return makeAnswer( ClaimVerdict::granted );
 }
 
-bool provedGone( const config::ClaimSlot& slot, const Presence& presence ) {
+bool isProvenGone( const config::ClaimSlot& slot, const Presence& presence ) {
     const bool listed = std::find( presence.present.begin(), presence.present.end(), slot.vm ) !=
                         presence.present.end();
     return !listed && presence.version >= slot.seen;
 }
 
-std::string_view bestOwner( std::uint32_t slot, std::span<const std::string> members ) {
+std::string_view chooseOwner( std::uint32_t slot, std::span<const std::string> members ) {
     std::string_view best;
     std::uint64_t bestHash = 0;
     const auto name = std::to_string( slot );
     for( const auto& it : members ) {
-        const auto h = hash64( it, name );
-        if( best.empty() || h > bestHash ) {
+        const auto hash = hash64( it, name );
+        if( best.empty() || hash > bestHash ) {
             best = it;
-            bestHash = h;
+            bestHash = hash;
         }
     }
     return best;
@@ -155,12 +156,13 @@
                     WallMillis now ) {
     const auto made = keyTime( request.key );
     if( !made ) {
-        return verdict( ClaimVerdict::mismatch );
+        return makeAnswer( ClaimVerdict::mismatch );
     }
-    const auto screened = screen( table, request.key, *made, rules, now );
-    const bool late = screened == ClaimVerdict::unknown && request.step != ClaimStep::claim;
-    if( screened != ClaimVerdict::granted && !late ) {
-        return verdict( screened );
+    const auto precheckVerdict = precheck( table, request.key, *made, rules, now );
+    const bool followsClaim =
+        precheckVerdict == ClaimVerdict::unknown && request.step != ClaimStep::claim;
+    if( precheckVerdict != ClaimVerdict::granted && !followsClaim ) {
+        return makeAnswer( precheckVerdict );
     }
     switch( request.step ) {
     case ClaimStep::claim:
@@ -170,11 +172,12 @@
     case ClaimStep::resolve:
         return resolve( table, request, rules );
     }
-    return verdict( ClaimVerdict::unknown );
+    return makeAnswer( ClaimVerdict::unknown );
 }
 
 void forget( ClaimTable& table, const ClaimRules& rules, WallMillis now ) {
-    // Twice the window: a request may run on for as long as its key's window after its claim.
+    // Twice the window: a request may be claimed at the end of its key's window and run for as long
+    // again.
     const auto limit = now - 2 * rules.window.count() - rules.skew.count();
     std::erase_if( table.records, [limit]( const auto& it ) { return it.second.made < limit; } );
 }
@@ -191,8 +194,8 @@
         }
     }
     for( std::uint32_t slot = 0; slot < slotCount; ++slot ) {
-        if( owners[slot] == nullptr || provedGone( *owners[slot], presence ) ) {
-            const auto next = bestOwner( slot, presence.members );
+        if( owners[slot] == nullptr || isProvenGone( *owners[slot], presence ) ) {
+            const auto next = chooseOwner( slot, presence.members );
             out.push_back( { slot, std::string( next ), presence.version } );
         }
     }
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Millis connectPatience{ 500 };
-constexpr Millis statusPatience{ 1000 };
+constexpr Millis connectTimeout{ 500 };
+constexpr Millis statusTimeout{ 1000 };
 constexpr int statusOk = 200;
 constexpr int firstServerError = 500;
-constexpr std::string_view doneMark = "[DONE]";
+constexpr std::string_view doneMarker = "[DONE]";
 
-std::string kindWord( ItemKind kind ) {
+std::string itemKindText( ItemKind kind ) {
     return kind == ItemKind::model ? "model" : "adapter";
 }
 
@@ -39,7 +39,7 @@
 }
 
 OrderOutcome send( const Endpoint& endpoint, const Json& order ) {
-    http::Client client( endpoint.url, { connectPatience, endpoint.orderPatience } );
+    http::Client client( endpoint.url, { connectTimeout, endpoint.orderTimeout } );
     const auto outcome = client.call( post( "/orders", order ) );
     if( outcome.failure == http::Failure::notSent ) {
         return OrderOutcome::refused;
@@ -60,21 +60,21 @@
     AnswerReader( const Generation& generation, const TextHandler& handler )
         : m_generation( generation ), m_handler( handler ) {}
 
-    bool take( std::string_view data ) {
-        if( data == doneMark ) {
+    bool handleEvent( std::string_view data ) {
+        if( data == doneMarker ) {
             m_done = true;
             return true;
         }
         const auto event = Json::parse( data, nullptr, false );
         if( !event.is_object() || event.value( "id", "" ) != m_generation.requestId ) {
-            // It may have taken the place of one of ours: what follows can't be trusted to be
-            // whole.
+            // The event may have replaced one of this request, so the rest of the answer may be
+            // incomplete.
             ++m_result.crossed;
             m_result.detail = "an event of another request";
             return false;
         }
         try {
-            return takeOwn( event );
+            return handleOwnEvent( event );
         } catch( const Json::exception& ex ) {
             m_result.detail = ex.what();
             return false;
@@ -86,7 +86,7 @@
     GenerationResult& result() { return m_result; }
 
 private:
-    bool takeOwn( const Json& event ) {
+    bool handleOwnEvent( const Json& event ) {
         if( event.contains( "usage" ) && event["usage"].is_object() ) {
             m_result.promptTokens = event["usage"].value( "prompt_tokens", 0U );
             m_result.completionTokens = event["usage"].value( "completion_tokens", 0U );
@@ -140,7 +140,8 @@
     return true;
 }
 
-GenerationEnd endOf( const http::Outcome& outcome, const AnswerReader& reader, int status ) {
+GenerationEnd generationEnd( const http::Outcome& outcome, const AnswerReader& reader,
+                             int status ) {
     if( reader.complete() ) {
         return GenerationEnd::complete;
     }
@@ -160,10 +161,10 @@
     constexpr std::string_view prefix = "data:";
     m_partial.append( bytes );
     std::size_t at = 0;
-    bool more = true;
+    bool continueReading = true;
     for( ;; ) {
         const auto end = m_partial.find( '\n', at );
-        if( end == std::string::npos || !more ) {
+        if( end == std::string::npos || !continueReading ) {
             break;
         }
         auto line = std::string_view( m_partial ).substr( at, end - at );
@@ -176,16 +177,16 @@
             if( line.starts_with( ' ' ) ) {
                 line.remove_prefix( 1 );
             }
-            more = handler( line );
+            continueReading = handler( line );
         }
     }
     m_partial.erase( 0, at );
-    return more;
+    return continueReading;
 }
 
 Status readStatus( const Endpoint& endpoint ) {
     Status out;
-    http::Client client( endpoint.url, { connectPatience, statusPatience } );
+    http::Client client( endpoint.url, { connectTimeout, statusTimeout } );
     http::Request request;
     request.path = "/status";
     const auto outcome = client.call( request );
@@ -214,7 +215,7 @@
     const Json body{
         { "token", tokenJson( token ) },
         { "action", order.action == ledger::OrderAction::load ? "load" : "unload" },
-        { "kind", kindWord( item.kind ) },
+        { "kind", itemKindText( item.kind ) },
         { "name", item.name },
         { "version", item.version },
         { "model", item.model },
@@ -239,7 +240,7 @@
     }
     auto request = post( generation.path, body );
     request.headers["X-Request-Id"] = generation.requestId;
-    http::Client client( endpoint.url, { connectPatience, endpoint.silence } );
+    http::Client client( endpoint.url, { connectTimeout, endpoint.silence } );
     AnswerReader reader( generation, handler );
     EventReader events;
     int status = 0;
@@ -250,7 +251,7 @@
             errorText.append( bytes );
             return true;
         }
-        return events.feed( bytes, [&reader]( auto data ) { return reader.take( data ); } );
+        return events.feed( bytes, [&reader]( auto data ) { return reader.handleEvent( data ); } );
     } );
     if( status == 0 && outcome.failure == http::Failure::none ) {
         status = outcome.response.status;
@@ -260,12 +261,12 @@
     if( result.detail.empty() ) {
         result.detail = errorText.empty() ? outcome.detail : errorText;
     }
-    result.end = endOf( outcome, reader, status );
+    result.end = generationEnd( outcome, reader, status );
     return std::move( result );
 }
 
 void cancel( const Endpoint& endpoint, std::string_view requestId ) {
-    http::Client client( endpoint.url, { connectPatience, statusPatience } );
+    http::Client client( endpoint.url, { connectTimeout, statusTimeout } );
     client.call( post( "/v1/cancel", Json{ { "request_id", requestId } } ) );
 }
 
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -26,26 +26,28 @@
     return nullptr;
 }
 
-std::uint64_t roomOn( const Ledger& ledger, std::uint32_t accelerator ) {
-    const auto held = ledger.capacity[accelerator];
-    const auto charged = chargedOn( ledger, accelerator );
-    return charged >= held ? 0 : held - charged;
+std::uint64_t freeBytesOn( const Ledger& ledger, std::uint32_t accelerator ) {
+    const auto capacity = ledger.capacity[accelerator];
+    const auto charged = chargedBytes( ledger, accelerator );
+    return charged >= capacity ? 0 : capacity - charged;
 }
 
-//! The accelerators with the most room, lowest number first among equals.
-std::vector<std::uint32_t> roomiest( const Ledger& ledger, std::uint32_t count ) {
+//! The `count` accelerators with the most free bytes, in ascending order; ties go to the lower
+//! number.
+std::vector<std::uint32_t> mostFreeAccelerators( const Ledger& ledger, std::uint32_t count ) {
     std::vector<std::uint32_t> all( ledger.capacity.size() );
     std::iota( all.begin(), all.end(), 0U );
     std::stable_sort( all.begin(), all.end(), [&ledger]( auto a, auto b ) {
-        return roomOn( ledger, a ) > roomOn( ledger, b );
+        return freeBytesOn( ledger, a ) > freeBytesOn( ledger, b );
     } );
     all.resize( std::min<std::size_t>( all.size(), count ) );
     std::sort( all.begin(), all.end() );
     return all;
 }
 
-//! Where the item would go; empty when it has no place.
-std::vector<std::uint32_t> place( const Ledger& ledger, const Footprint& footprint ) {
+//! The accelerators that the item would be loaded on; empty when no set of them is eligible. An
+//! adapter goes where its resident model is. Free bytes are not checked here.
+std::vector<std::uint32_t> choosePlacement( const Ledger& ledger, const Footprint& footprint ) {
     if( footprint.item.kind == ItemKind::adapter ) {
         const Item model{ ItemKind::model, footprint.item.model, footprint.item.version, "" };
         const auto* charge = find( ledger, model );
@@ -55,17 +57,17 @@
     if( footprint.accelerators == 0 || footprint.accelerators > ledger.capacity.size() ) {
         return {};
     }
-    return roomiest( ledger, footprint.accelerators );
+    return mostFreeAccelerators( ledger, footprint.accelerators );
 }
 
-bool hasRoom( const Ledger& ledger, const Footprint& footprint,
-              std::span<const std::uint32_t> accelerators ) {
+bool hasFreeCapacity( const Ledger& ledger, const Footprint& footprint,
+                      std::span<const std::uint32_t> accelerators ) {
     return !accelerators.empty() &&
            std::all_of( accelerators.begin(), accelerators.end(),
-                        [&]( auto it ) { return roomOn( ledger, it ) >= footprint.bytes; } );
+                        [&]( auto it ) { return freeBytesOn( ledger, it ) >= footprint.bytes; } );
 }
 
-bool carriesAdapters( const Ledger& ledger, const Item& item ) {
+bool hasAdapters( const Ledger& ledger, const Item& item ) {
     return std::any_of( ledger.charges.begin(), ledger.charges.end(), [&item]( const Charge& it ) {
         const auto& other = it.footprint.item;
         return other.kind == ItemKind::adapter && other.model == item.name &&
@@ -89,7 +91,7 @@
 
 } // namespace
 
-std::uint64_t chargedOn( const Ledger& ledger, std::uint32_t accelerator ) {
+std::uint64_t chargedBytes( const Ledger& ledger, std::uint32_t accelerator ) {
     std::uint64_t out = 0;
     for( const auto& it : ledger.charges ) {
         if( std::find( it.accelerators.begin(), it.accelerators.end(), accelerator ) !=
@@ -103,14 +105,14 @@
 std::uint64_t largestRoom( const Ledger& ledger ) {
     std::uint64_t out = 0;
     for( std::uint32_t n = 0; n < ledger.capacity.size(); ++n ) {
-        out = std::max( out, roomOn( ledger, n ) );
+        out = std::max( out, freeBytesOn( ledger, n ) );
     }
     return out;
 }
 
 bool withinCapacity( const Ledger& ledger ) {
     for( std::uint32_t n = 0; n < ledger.capacity.size(); ++n ) {
-        if( chargedOn( ledger, n ) > ledger.capacity[n] ) {
+        if( chargedBytes( ledger, n ) > ledger.capacity[n] ) {
             return false;
         }
     }
@@ -128,7 +130,7 @@
 
 bool fits( const Ledger& ledger, const Footprint& footprint ) {
     return find( ledger, footprint.item ) == nullptr &&
-           hasRoom( ledger, footprint, place( ledger, footprint ) );
+           hasFreeCapacity( ledger, footprint, choosePlacement( ledger, footprint ) );
 }
 
 std::optional<Order> beginLoad( Ledger& ledger, const Footprint& footprint, MonoTime now ) {
@@ -137,18 +139,18 @@
     }
     Charge charge;
     charge.footprint = footprint;
-    charge.accelerators = place( ledger, footprint );
+    charge.accelerators = choosePlacement( ledger, footprint );
     charge.state = ChargeState::loading;
     charge.order = ++ledger.lastOrder;
-    charge.loadSent = now;
+    charge.loadSentAt = now;
     ledger.charges.push_back( charge );
     return Order{ charge.order, OrderAction::load, footprint, charge.accelerators };
 }
 
-std::optional<Order> beginUnload( Ledger& ledger, const Item& item ) {
+std::optional<Order> startUnload( Ledger& ledger, const Item& item ) {
     auto* charge = findItem( ledger, item );
     if( charge == nullptr || charge->state != ChargeState::resident ||
-        ( item.kind == ItemKind::model && carriesAdapters( ledger, item ) ) ) {
+        ( item.kind == ItemKind::model && hasAdapters( ledger, item ) ) ) {
         return std::nullopt;
     }
     charge->state = ChargeState::unloading;
@@ -180,20 +182,20 @@
     }
 }
 
-void lose( Ledger& ledger, OrderNumber order ) {
+void markUnknown( Ledger& ledger, OrderNumber order ) {
     auto* charge = findOrder( ledger, order );
     if( charge != nullptr && charge->state != ChargeState::resident ) {
         charge->state = ChargeState::unknown;
     }
 }
 
-void settle( Ledger& ledger, std::span<const ReportedItem> report, OrderNumber decisive ) {
+void reconcile( Ledger& ledger, std::span<const ReportedItem> report, OrderNumber lastFinalOrder ) {
     const auto reported = [report]( const Item& item ) {
         return std::any_of( report.begin(), report.end(),
                             [&item]( const auto& it ) { return it.item == item; } );
     };
     std::erase_if( ledger.charges, [&]( Charge& it ) {
-        if( it.order > decisive ) {
+        if( it.order > lastFinalOrder ) {
             return false;
         }
         if( reported( it.footprint.item ) ) {
@@ -203,7 +205,7 @@
         return true;
     } );
     for( const auto& it : report ) {
-        // An item that we hold no charge for is held all the same: count it.
+        // A reported item without a charge still takes memory, so it gets a charge.
         if( find( ledger, it.item ) == nullptr ) {
             ledger.charges.push_back( residentCharge( it ) );
         }
@@ -213,7 +215,7 @@
 Ledger adopt( std::vector<std::uint64_t> capacity, std::span<const ReportedItem> report ) {
     Ledger out;
     out.capacity = std::move( capacity );
-    settle( out, report, 0 );
+    reconcile( out, report, 0 );
     return out;
 }
 
--- a/src/ledger/protocol.cpp
+++ b/src/ledger/protocol.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-bool hasUnknown( const Ledger& ledger ) {
+bool hasUnknownCharge( const Ledger& ledger ) {
     return std::any_of( ledger.charges.begin(), ledger.charges.end(),
                         []( const auto& it ) { return it.state == ChargeState::unknown; } );
 }
 
-//! When the last order that may be unaccounted for can no longer take effect.
-MonoTime quietAt( const OrderProtocol& protocol ) {
+//! The time from which no earlier order can still take effect: the order lateness after the latest
+//! order sent, or, before a decisive report in this epoch, after the start of this process.
+MonoTime earlierOrdersExpireAt( const OrderProtocol& protocol ) {
     const auto since = protocol.adopted ? protocol.lastSent : protocol.began;
     return since + protocol.lateness;
 }
@@ -25,24 +26,25 @@
     return out;
 }
 
-Instruction plain( InstructionKind kind ) {
+Instruction makeInstruction( InstructionKind kind ) {
     Instruction out;
     out.kind = kind;
     return out;
 }
 
-//! The step towards being fenced: a fence, or a wait until old orders are too late.
-Instruction towardsFenced( OrderProtocol& protocol, MonoTime now ) {
+//! The next instruction while earlier orders may still take effect: a fence for an upstream that
+//! checks orders, otherwise a wait until earlier orders are too late to be executed.
+Instruction nextFencingStep( OrderProtocol& protocol, MonoTime now ) {
     if( protocol.checksOrders ) {
-        auto out = plain( InstructionKind::fence );
+        auto out = makeInstruction( InstructionKind::fence );
         out.number = ++protocol.ledger.lastOrder;
         return out;
     }
-    if( now < quietAt( protocol ) ) {
-        return waitUntil( now, quietAt( protocol ) );
+    if( now < earlierOrdersExpireAt( protocol ) ) {
+        return waitUntil( now, earlierOrdersExpireAt( protocol ) );
     }
     protocol.fenced = true;
-    return plain( InstructionKind::readReport );
+    return makeInstruction( InstructionKind::readReport );
 }
 
 } // namespace
@@ -50,19 +52,19 @@
 Instruction nextInstruction( OrderProtocol& protocol, std::span<const Wanted> wanted,
                              std::span<const Usage> usage, const StepRules& rules, MonoTime now ) {
     if( protocol.epoch == 0 ) {
-        return plain( InstructionKind::takeEpoch );
+        return makeInstruction( InstructionKind::takeEpoch );
     }
     if( !protocol.fenced ) {
-        return towardsFenced( protocol, now );
+        return nextFencingStep( protocol, now );
     }
-    const bool reportDue = !protocol.adopted || hasUnknown( protocol.ledger ) ||
+    const bool reportDue = !protocol.adopted || hasUnknownCharge( protocol.ledger ) ||
                            now - protocol.lastReport >= protocol.reportInterval;
     if( reportDue ) {
-        return plain( InstructionKind::readReport );
+        return makeInstruction( InstructionKind::readReport );
     }
     Instruction out;
     if( auto order =
-            nextStep( protocol.ledger, wanted, usage, safeRules( protocol, rules ), now ) ) {
+            nextStep( protocol.ledger, wanted, usage, effectiveRules( protocol, rules ), now ) ) {
         out.kind = InstructionKind::order;
         out.order = std::move( *order );
     }
@@ -82,14 +84,15 @@
 void reportRead( OrderProtocol& protocol, std::span<const ReportedItem> items, MonoTime now ) {
     protocol.lastReport = now;
     if( protocol.fenced && protocol.adopted ) {
-        settle( protocol.ledger, items, protocol.ledger.lastOrder );
+        reconcile( protocol.ledger, items, protocol.ledger.lastOrder );
         return;
     }
     if( protocol.adopted ) {
-        // An order of unknown outcome is still out: this report decides nothing.
+        // An order of unknown outcome may still take effect, so this report is not decisive.
         return;
     }
-    // Not decisive before the fence: good for serving what is resident, not for giving orders.
+    // A report read before the fence is not decisive: it shows which resident items can serve
+    // requests, but no orders may be based on it.
     const auto number = protocol.ledger.lastOrder;
     protocol.ledger = adopt( protocol.capacity, items );
     protocol.ledger.lastOrder = number;
@@ -108,7 +111,7 @@
         protocol.lastReport = MonoTime{};
         return;
     case OrderResult::unknown:
-        lose( protocol.ledger, number );
+        markUnknown( protocol.ledger, number );
         protocol.fenced = false;
         return;
     }
@@ -118,7 +121,7 @@
     return protocol.epoch != 0 && protocol.adopted;
 }
 
-StepRules safeRules( const OrderProtocol& protocol, StepRules rules ) {
+StepRules effectiveRules( const OrderProtocol& protocol, StepRules rules ) {
     if( !protocol.checksOrders ) {
         rules.minResidency = std::max( rules.minResidency, protocol.lateness + Millis{ 1 } );
     }
--- a/src/ledger/steps.cpp
+++ b/src/ledger/steps.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-//! What a choice is made from.
-struct Scene {
+//! The inputs from which the next order is chosen.
+struct StepContext {
     const Ledger& ledger;
     std::span<const Wanted> wanted;
     std::span<const Usage> usage;
@@ -17,34 +17,35 @@
     MonoTime now;
 };
 
-const Usage* usageOf( const Scene& scene, const Item& item ) {
-    const auto it = std::find_if( scene.usage.begin(), scene.usage.end(),
+const Usage* findUsage( const StepContext& context, const Item& item ) {
+    const auto it = std::find_if( context.usage.begin(), context.usage.end(),
                                   [&item]( const Usage& u ) { return u.item == item; } );
-    return it == scene.usage.end() ? nullptr : &*it;
+    return it == context.usage.end() ? nullptr : &*it;
 }
 
-bool isWanted( const Scene& scene, const Item& item ) {
-    return std::any_of( scene.wanted.begin(), scene.wanted.end(), [&item]( const Wanted& it ) {
-        const auto& want = it.footprint.item;
-        // An adapter keeps its model.
-        return want == item || ( want.kind == ItemKind::adapter && item.kind == ItemKind::model &&
-                                 want.model == item.name && want.version == item.version );
+bool isWanted( const StepContext& context, const Item& item ) {
+    return std::any_of( context.wanted.begin(), context.wanted.end(), [&item]( const Wanted& it ) {
+        const auto& wantedItem = it.footprint.item;
+        // A wanted adapter makes its model wanted too.
+        return wantedItem == item ||
+               ( wantedItem.kind == ItemKind::adapter && item.kind == ItemKind::model &&
+                 wantedItem.model == item.name && wantedItem.version == item.version );
     } );
 }
 
-MonoTime lastUsed( const Scene& scene, const Item& item ) {
-    const auto* it = usageOf( scene, item );
+MonoTime lastUsed( const StepContext& context, const Item& item ) {
+    const auto* it = findUsage( context, item );
     return it == nullptr ? MonoTime{} : it->lastUsed;
 }
 
-bool inUse( const Scene& scene, const Item& item ) {
-    const auto* it = usageOf( scene, item );
+bool inUse( const StepContext& context, const Item& item ) {
+    const auto* it = findUsage( context, item );
     return it != nullptr && ( it->running > 0 || it->waiting > 0 );
 }
 
-bool carriesAdapters( const Scene& scene, const Item& item ) {
+bool hasAdapters( const StepContext& context, const Item& item ) {
     return item.kind == ItemKind::model &&
-           std::any_of( scene.ledger.charges.begin(), scene.ledger.charges.end(),
+           std::any_of( context.ledger.charges.begin(), context.ledger.charges.end(),
                         [&item]( const Charge& it ) {
                             const auto& other = it.footprint.item;
                             return other.kind == ItemKind::adapter && other.model == item.name &&
@@ -52,89 +53,94 @@
                         } );
 }
 
-//! True when the item is resident, idle and has been there long enough.
-bool mayDrop( const Scene& scene, const Charge& charge ) {
-    const bool young =
-        charge.loadSent != MonoTime{} && scene.now - charge.loadSent < scene.rules.minResidency;
-    return charge.state == ChargeState::resident && !young &&
-           !inUse( scene, charge.footprint.item );
+//! True when the item is resident, idle and past the minimum residency.
+bool canUnload( const StepContext& context, const Charge& charge ) {
+    const bool tooRecent = charge.loadSentAt != MonoTime{} &&
+                           context.now - charge.loadSentAt < context.rules.minResidency;
+    return charge.state == ChargeState::resident && !tooRecent &&
+           !inUse( context, charge.footprint.item );
 }
 
-bool isDeleted( const Scene& scene, const Item& item ) {
-    const auto& gone = scene.rules.deleted;
-    return std::find( gone.begin(), gone.end(), item ) != gone.end();
+bool isDeleted( const StepContext& context, const Item& item ) {
+    const auto& deleted = context.rules.deleted;
+    return std::find( deleted.begin(), deleted.end(), item ) != deleted.end();
 }
 
-//! A version that is not wanted any more, while the one that replaces it is there.
-bool isReplaced( const Scene& scene, const Item& item ) {
-    return !isWanted( scene, item ) &&
-           std::any_of( scene.wanted.begin(), scene.wanted.end(), [&]( const Wanted& it ) {
-               const auto& want = it.footprint.item;
-               const auto* charge = find( scene.ledger, want );
-               return want.kind == item.kind && want.name == item.name && !( want == item ) &&
-                      charge != nullptr && charge->state == ChargeState::resident;
+//! True for a version that is no longer wanted while another, wanted version of the same item is
+//! resident.
+bool isReplaced( const StepContext& context, const Item& item ) {
+    return !isWanted( context, item ) &&
+           std::any_of( context.wanted.begin(), context.wanted.end(), [&]( const Wanted& it ) {
+               const auto& wantedItem = it.footprint.item;
+               const auto* charge = find( context.ledger, wantedItem );
+               return wantedItem.kind == item.kind && wantedItem.name == item.name &&
+                      !( wantedItem == item ) && charge != nullptr &&
+                      charge->state == ChargeState::resident;
            } );
 }
 
-bool isSpare( const Scene& scene, const Item& item ) {
-    return std::any_of( scene.wanted.begin(), scene.wanted.end(), [&item]( const Wanted& it ) {
+bool isSpare( const StepContext& context, const Item& item ) {
+    return std::any_of( context.wanted.begin(), context.wanted.end(), [&item]( const Wanted& it ) {
         return it.footprint.item == item && it.spare;
     } );
 }
 
-//! Rank among victims: lower goes first.
+//! Eviction rank of an item: the lowest is unloaded first.
 struct VictimRank {
-    bool wanted = false; //!< and not spare
+    bool wanted = false; //!< wanted and not a spare copy
     MonoTime used;
     bool operator<( const VictimRank& other ) const {
         return wanted != other.wanted ? !wanted : used < other.used;
     }
 };
 
-//! True when the charge may go for `target`: a wanted one only for a load that requests wait for.
-bool mayGoFor( const Scene& scene, const Charge& charge, const Wanted& target ) {
+//! True when the charged item may be unloaded for `target`. A wanted item is unloaded only for a
+//! load that requests wait for. If `target` is an adapter, its model is never unloaded.
+bool canUnloadFor( const StepContext& context, const Charge& charge, const Wanted& target ) {
     const auto& item = charge.footprint.item;
-    const bool carriesTarget = target.footprint.item.kind == ItemKind::adapter &&
-                               item.kind == ItemKind::model &&
-                               target.footprint.item.model == item.name;
-    return mayDrop( scene, charge ) && !carriesTarget &&
-           ( target.waiting || !isWanted( scene, item ) );
-}
-
-//! True when dropping everything that may go, and `also`, would make room: no item goes in vain.
-bool canMakeRoom( const Scene& scene, const Wanted& target, std::span<const Item> also = {} ) {
-    std::uint32_t enough = 0;
-    for( std::uint32_t n = 0; n < scene.ledger.capacity.size(); ++n ) {
-        std::uint64_t stays = 0;
-        for( const auto& it : scene.ledger.charges ) {
-            const bool here = std::find( it.accelerators.begin(), it.accelerators.end(), n ) !=
-                              it.accelerators.end();
-            const bool goes =
-                std::find( also.begin(), also.end(), it.footprint.item ) != also.end();
-            if( here && !goes && !mayGoFor( scene, it, target ) ) {
-                stays += it.footprint.bytes;
+    const bool isModelOfTarget = target.footprint.item.kind == ItemKind::adapter &&
+                                 item.kind == ItemKind::model &&
+                                 target.footprint.item.model == item.name;
+    return canUnload( context, charge ) && !isModelOfTarget &&
+           ( target.waiting || !isWanted( context, item ) );
+}
+
+//! True when unloading every item that may be unloaded, and those in `additional`, would free
+//! enough memory for `target`. Checked first so that no item is unloaded without enabling the load.
+bool canFreeCapacity( const StepContext& context, const Wanted& target,
+                      std::span<const Item> additional = {} ) {
+    std::uint32_t suitable = 0;
+    for( std::uint32_t n = 0; n < context.ledger.capacity.size(); ++n ) {
+        std::uint64_t remainingBytes = 0;
+        for( const auto& it : context.ledger.charges ) {
+            const bool onAccelerator = std::find( it.accelerators.begin(), it.accelerators.end(),
+                                                  n ) != it.accelerators.end();
+            const bool isAdditional = std::find( additional.begin(), additional.end(),
+                                                 it.footprint.item ) != additional.end();
+            if( onAccelerator && !isAdditional && !canUnloadFor( context, it, target ) ) {
+                remainingBytes += it.footprint.bytes;
             }
         }
-        if( stays + target.footprint.bytes <= scene.ledger.capacity[n] ) {
-            ++enough;
+        if( remainingBytes + target.footprint.bytes <= context.ledger.capacity[n] ) {
+            ++suitable;
         }
     }
     const bool adapter = target.footprint.item.kind == ItemKind::adapter;
-    return enough >= ( adapter ? 1 : target.footprint.accelerators );
+    return suitable >= ( adapter ? 1 : target.footprint.accelerators );
 }
 
-//! The item to give up for `target`: unwanted ones first, then the longest unused.
-const Charge* chooseVictim( const Scene& scene, const Wanted& target ) {
-    if( !canMakeRoom( scene, target ) ) {
+//! The item to unload for `target`: unwanted and spare items first, then the least recently used.
+const Charge* chooseVictim( const StepContext& context, const Wanted& target ) {
+    if( !canFreeCapacity( context, target ) ) {
         return nullptr;
     }
     const Charge* best = nullptr;
     VictimRank bestRank;
-    for( const auto& it : scene.ledger.charges ) {
+    for( const auto& it : context.ledger.charges ) {
         const auto& item = it.footprint.item;
-        const VictimRank rank{ isWanted( scene, item ) && !isSpare( scene, item ),
-                               lastUsed( scene, item ) };
-        if( mayGoFor( scene, it, target ) && !carriesAdapters( scene, item ) &&
+        const VictimRank rank{ isWanted( context, item ) && !isSpare( context, item ),
+                               lastUsed( context, item ) };
+        if( canUnloadFor( context, it, target ) && !hasAdapters( context, item ) &&
             ( best == nullptr || rank < bestRank ) ) {
             best = &it;
             bestRank = rank;
@@ -143,19 +149,19 @@
     return best;
 }
 
-//! True for an adapter whose model is not charged yet.
-bool lacksModel( const Scene& scene, const Footprint& footprint ) {
+//! True for an adapter whose model has no charge yet.
+bool lacksModel( const StepContext& context, const Footprint& footprint ) {
     const auto& item = footprint.item;
     const Item model{ ItemKind::model, item.model, item.version, "" };
-    return item.kind == ItemKind::adapter && find( scene.ledger, model ) == nullptr;
+    return item.kind == ItemKind::adapter && find( context.ledger, model ) == nullptr;
 }
 
-//! The wanted items that are not charged, those that requests wait for first.
-std::vector<const Wanted*> missing( const Scene& scene ) {
+//! The wanted items without a charge; those that requests wait for come first.
+std::vector<const Wanted*> missingItems( const StepContext& context ) {
     std::vector<const Wanted*> out;
-    for( const auto& it : scene.wanted ) {
-        if( find( scene.ledger, it.footprint.item ) == nullptr &&
-            !lacksModel( scene, it.footprint ) ) {
+    for( const auto& it : context.wanted ) {
+        if( find( context.ledger, it.footprint.item ) == nullptr &&
+            !lacksModel( context, it.footprint ) ) {
             out.push_back( &it );
         }
     }
@@ -164,13 +170,13 @@
     return out;
 }
 
-//! Unloads the first droppable item that `which` picks.
-std::optional<Order> dropFirst( Ledger& ledger, const Scene& scene,
-                                const std::function<bool( const Item& item )>& which ) {
+//! Starts to unload the first item that may be unloaded and satisfies `matches`.
+std::optional<Order> unloadFirst( Ledger& ledger, const StepContext& context,
+                                  const std::function<bool( const Item& item )>& matches ) {
     for( const auto& it : ledger.charges ) {
         const auto item = it.footprint.item;
-        if( mayDrop( scene, it ) && which( item ) ) {
-            if( auto order = beginUnload( ledger, item ) ) {
+        if( canUnload( context, it ) && matches( item ) ) {
+            if( auto order = startUnload( ledger, item ) ) {
                 return order;
             }
         }
@@ -183,45 +189,46 @@
 std::optional<Order> nextStep( Ledger& ledger, std::span<const Wanted> wanted,
                                std::span<const Usage> usage, const StepRules& rules,
                                MonoTime now ) {
-    const Scene scene{ ledger, wanted, usage, rules, now };
-    if( auto order =
-            dropFirst( ledger, scene, [&]( const Item& it ) { return isDeleted( scene, it ); } ) ) {
+    const StepContext context{ ledger, wanted, usage, rules, now };
+    if( auto order = unloadFirst( ledger, context,
+                                  [&]( const Item& it ) { return isDeleted( context, it ); } ) ) {
         return order;
     }
-    for( const auto* it : missing( scene ) ) {
+    for( const auto* it : missingItems( context ) ) {
         if( auto order = beginLoad( ledger, it->footprint, now ) ) {
             return order;
         }
-        if( const auto* victim = chooseVictim( scene, *it ) ) {
-            return beginUnload( ledger, Item( victim->footprint.item ) );
+        if( const auto* victim = chooseVictim( context, *it ) ) {
+            return startUnload( ledger, Item( victim->footprint.item ) );
         }
     }
-    if( auto order = dropFirst( ledger, scene,
-                                [&]( const Item& it ) { return isReplaced( scene, it ); } ) ) {
+    if( auto order = unloadFirst( ledger, context,
+                                  [&]( const Item& it ) { return isReplaced( context, it ); } ) ) {
         return order;
     }
     if( rules.allowUnwanted ) {
         return std::nullopt;
     }
-    return dropFirst( ledger, scene, [&]( const Item& it ) { return !isWanted( scene, it ); } );
+    return unloadFirst( ledger, context,
+                        [&]( const Item& it ) { return !isWanted( context, it ); } );
 }
 
 std::vector<Item> retiring( const Ledger& ledger, std::span<const Wanted> wanted,
                             std::span<const Usage> usage, const StepRules& rules, MonoTime now ) {
-    const Scene scene{ ledger, wanted, usage, rules, now };
-    for( const auto* target : missing( scene ) ) {
-        if( canMakeRoom( scene, *target ) ) {
+    const StepContext context{ ledger, wanted, usage, rules, now };
+    for( const auto* target : missingItems( context ) ) {
+        if( canFreeCapacity( context, *target ) ) {
             return {};
         }
         std::vector<Item> out;
         for( const auto& it : ledger.charges ) {
             const auto& item = it.footprint.item;
             const bool mayRetire =
-                !isWanted( scene, item ) || ( target->waiting && isSpare( scene, item ) );
-            if( it.state == ChargeState::resident && inUse( scene, item ) && mayRetire ) {
+                !isWanted( context, item ) || ( target->waiting && isSpare( context, item ) );
+            if( it.state == ChargeState::resident && inUse( context, item ) && mayRetire ) {
                 out.push_back( item );
             }
-            if( !out.empty() && canMakeRoom( scene, *target, out ) ) {
+            if( !out.empty() && canFreeCapacity( context, *target, out ) ) {
                 return out;
             }
         }
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -24,12 +24,12 @@
     "coursehead_request_ms",
 };
 
-using Names = bh::axis::category<std::string, bh::use_default, bh::axis::option::growth_t>;
+using Labels = bh::axis::category<std::string, bh::use_default, bh::axis::option::growth_t>;
 using Bounds = bh::axis::variable<double>;
 
 auto makeHistogram() {
-    // Targets of the field sit on bounds: 47 ms between tokens, 610 ms to the first.
-    return bh::make_histogram( Names{}, Names{},
+    // The usual latency targets are bucket bounds: 47 ms between tokens, 610 ms to the first token.
+    return bh::make_histogram( Labels{}, Labels{},
                                Bounds{ 0, 1, 2, 5, 10, 20, 47, 100, 200, 400, 610, 1000, 2000, 5000,
                                        10000, 30000, 60000, 120000 } );
 }
@@ -72,17 +72,17 @@
 void Metrics::observe( Series series, std::string_view requestClass, std::string_view caller,
                        double ms ) {
     const std::lock_guard lock( m_impl->mutex );
-    std::string who( caller );
-    if( !m_impl->callers.contains( who ) ) {
+    std::string callerLabel( caller );
+    if( !m_impl->callers.contains( callerLabel ) ) {
         if( m_impl->callers.size() >= maxCallers ) {
-            who = "other";
+            callerLabel = "other";
         }
-        m_impl->callers.insert( who );
+        m_impl->callers.insert( callerLabel );
     }
     const auto n = static_cast<std::size_t>( series );
     const std::string name( requestClass );
-    m_impl->histograms[n]( name, who, ms );
-    m_impl->sums[n][{ name, who }] += ms;
+    m_impl->histograms[n]( name, callerLabel, ms );
+    m_impl->sums[n][{ name, callerLabel }] += ms;
 }
 
 void Metrics::count( std::string_view name, std::string_view reason, std::uint64_t n ) {
@@ -97,27 +97,28 @@
 
 void Metrics::Impl::print( std::ostream& out, std::size_t series ) const {
     const auto& histogram = histograms[series];
-    const auto& classes = histogram.axis( std::integral_constant<unsigned, 0>{} );
-    const auto& who = histogram.axis( std::integral_constant<unsigned, 1>{} );
-    const auto& bounds = histogram.axis( std::integral_constant<unsigned, 2>{} );
+    const auto& classAxis = histogram.axis( std::integral_constant<unsigned, 0>{} );
+    const auto& callerAxis = histogram.axis( std::integral_constant<unsigned, 1>{} );
+    const auto& boundAxis = histogram.axis( std::integral_constant<unsigned, 2>{} );
     const auto name = seriesNames[series];
     out << "# TYPE " << name << " histogram\n";
-    for( int c = 0; c < classes.size(); ++c ) {
-        for( int w = 0; w < who.size(); ++w ) {
-            const std::string labels = "class=\"" + escape( classes.value( c ) ) + "\",caller=\"" +
-                                       escape( who.value( w ) ) + "\"";
+    for( int c = 0; c < classAxis.size(); ++c ) {
+        for( int w = 0; w < callerAxis.size(); ++w ) {
+            const std::string labels = "class=\"" + escape( classAxis.value( c ) ) +
+                                       "\",caller=\"" + escape( callerAxis.value( w ) ) + "\"";
             double total = histogram.at( c, w, -1 );
             std::ostringstream buckets;
-            for( int b = 0; b < bounds.size(); ++b ) {
+            for( int b = 0; b < boundAxis.size(); ++b ) {
                 total += histogram.at( c, w, b );
-                buckets << name << "_bucket{" << labels << ",le=\"" << bounds.value( b + 1 )
+                buckets << name << "_bucket{" << labels << ",le=\"" << boundAxis.value( b + 1 )
                         << "\"} " << total << "\n";
             }
-            total += histogram.at( c, w, bounds.size() );
+            total += histogram.at( c, w, boundAxis.size() );
             if( total <= 0 ) {
                 continue;
             }
-            const auto sum = sums[series].find( CounterKey{ classes.value( c ), who.value( w ) } );
+            const auto sum =
+                sums[series].find( CounterKey{ classAxis.value( c ), callerAxis.value( w ) } );
             out << buckets.str() << name << "_bucket{" << labels << ",le=\"+Inf\"} " << total
                 << "\n"
                 << name << "_sum{" << labels << "} "
--- a/src/planner/lease.cpp
+++ b/src/planner/lease.cpp
@@ -5,10 +5,10 @@
 
 namespace {
 
-//! The holder stops itself after this share of the length, counted from its last renewal.
+//! The holder stops acting this share of the lease length after its last renewal.
 constexpr int stopNumerator = 2;
 constexpr int stopDenominator = 3;
-//! It renews after this share.
+//! The holder renews after the lease length divided by this.
 constexpr int renewDivisor = 4;
 
 } // namespace
@@ -21,7 +21,7 @@
     view.record = record;
     view.version = version;
     if( changed ) {
-        view.seenAt = now;
+        view.unchangedSince = now;
     }
     if( !exists || record.holder != view.self ) {
         view.held = false;
@@ -33,7 +33,7 @@
     view.exists = true;
     view.record = record;
     view.version = version;
-    view.seenAt = sentAt;
+    view.unchangedSince = sentAt;
     view.renewedAt = sentAt;
     view.held = true;
 }
@@ -49,7 +49,7 @@
         return now - view.renewedAt >= view.length / renewDivisor ? LeaseAction::renew
                                                                   : LeaseAction::wait;
     }
-    return now - view.seenAt >= view.length ? LeaseAction::takeOver : LeaseAction::wait;
+    return now - view.unchangedSince >= view.length ? LeaseAction::takeOver : LeaseAction::wait;
 }
 
 LeaseRecord nextRecord( const LeaseView& view, LeaseAction action ) {
--- a/src/planner/plan.cpp
+++ b/src/planner/plan.cpp
@@ -15,32 +15,33 @@
 
 using ModelIndex = std::size_t;
 
-//! Worth of a model's first copy and of those up to its replicas, far above any demand.
-constexpr double firstCopyWorth = 1e9;
-constexpr double replicaWorth = 1e6;
+//! Value of a model's first copy and of the further copies up to its replica count. Both are far
+//! above the value that demand gives a copy.
+constexpr double firstCopyValue = 1e9;
+constexpr double replicaValue = 1e6;
 constexpr double priorityShare = 0.5;
 
-//! An agent while the plan is made.
-struct Site {
+//! The state of an agent while the plan is computed.
+struct AgentState {
     const AgentInput* input = nullptr;
-    std::vector<std::uint64_t> free; //!< by accelerator
+    std::vector<std::uint64_t> free; //!< bytes, by accelerator
     std::vector<ModelIndex> held;
-    std::vector<std::vector<std::uint32_t>> places; //!< accelerators of each held model
-    double load = 0;                                //!< expected parallel requests, for spreading
+    std::vector<std::vector<std::uint32_t>> placements; //!< accelerators of each held model
+    double load = 0; //!< expected parallel requests, for spreading
 };
 
-//! What would have to go to make room for a copy.
+//! The copies to unload so that a new copy fits, and the loss in value.
 struct Eviction {
     std::vector<ModelIndex> victims;
     double loss = 0;
 };
 
-//! A copy that is worth having.
+//! A copy that may be added, with its value.
 struct Candidate {
-    double worth = 0;
+    double copyValue = 0;
     ModelIndex model = 0;
     bool operator<( const Candidate& other ) const {
-        return worth != other.worth ? worth < other.worth : model > other.model;
+        return copyValue != other.copyValue ? copyValue < other.copyValue : model > other.model;
     }
 };
 
@@ -55,7 +56,7 @@
                                   static_cast<double>( models[n].bytes ) * models[n].accelerators );
         }
         for( const auto& it : agents ) {
-            m_sites.push_back( makeSite( it ) );
+            m_states.push_back( makeState( it ) );
         }
     }
 
@@ -64,7 +65,7 @@
         Plan out;
         out.moves = m_moves;
         out.reasons = std::move( m_reasons );
-        for( const auto& it : m_sites ) {
+        for( const auto& it : m_states ) {
             AgentPlan agent{ it.input->vm, {}, {} };
             for( const auto model : it.held ) {
                 agent.models.push_back( m_models[model].name );
@@ -79,10 +80,10 @@
     }
 
 private:
-    Site makeSite( const AgentInput& input ) {
-        Site site;
-        site.input = &input;
-        site.free.assign( input.usable ? input.accelerators : 0, input.memory );
+    AgentState makeState( const AgentInput& input ) {
+        AgentState state;
+        state.input = &input;
+        state.free.assign( input.usable ? input.accelerators : 0, input.memory );
         std::vector<ModelIndex> resident;
         for( const auto& name : input.models ) {
             const auto found = m_index.find( name );
@@ -90,51 +91,53 @@
                 resident.push_back( found->second );
             }
         }
-        // Where exactly a copy sits is the agent's affair: pack the largest first.
+        // The agent chooses the accelerators of its copies and they are not known here: assume a
+        // packing with the largest first.
         std::stable_sort( resident.begin(), resident.end(), [this]( auto a, auto b ) {
             return m_models[a].bytes > m_models[b].bytes;
         } );
         bool packed = true;
         for( const auto it : resident ) {
-            put( site, it );
-            packed = packed && !site.places.back().empty();
+            placeCopy( state, it );
+            packed = packed && !state.placements.back().empty();
         }
         if( !packed ) {
-            // Our packing is not the agent's: offer no room that may not be there.
-            std::fill( site.free.begin(), site.free.end(), 0 );
+            // The assumed packing differs from the agent's, so its free memory is not known: count
+            // none as free.
+            std::fill( state.free.begin(), state.free.end(), 0 );
         }
-        return site;
+        return state;
     }
 
-    //! The accelerators a copy would take; empty when there is no room.
-    std::vector<std::uint32_t> roomFor( const Site& site, ModelIndex model ) const {
+    //! The accelerators that a copy would use; empty when it does not fit.
+    std::vector<std::uint32_t> placementFor( const AgentState& state, ModelIndex model ) const {
         const auto& it = m_models[model];
-        std::vector<std::uint32_t> order( site.free.size() );
+        std::vector<std::uint32_t> order( state.free.size() );
         std::iota( order.begin(), order.end(), 0U );
         std::stable_sort( order.begin(), order.end(),
-                          [&site]( auto a, auto b ) { return site.free[a] > site.free[b]; } );
-        if( order.size() < it.accelerators || site.free[order[it.accelerators - 1]] < it.bytes ) {
+                          [&state]( auto a, auto b ) { return state.free[a] > state.free[b]; } );
+        if( order.size() < it.accelerators || state.free[order[it.accelerators - 1]] < it.bytes ) {
             return {};
         }
         order.resize( it.accelerators );
         return order;
     }
 
-    //! Puts a copy; one that is resident already is taken as it is, even where it does not fit.
-    void put( Site& site, ModelIndex model ) {
-        auto places = roomFor( site, model );
-        for( const auto it : places ) {
-            site.free[it] -= m_models[model].bytes;
+    //! Adds a copy. A copy that is already resident is added even if it does not fit.
+    void placeCopy( AgentState& state, ModelIndex model ) {
+        auto placements = placementFor( state, model );
+        for( const auto it : placements ) {
+            state.free[it] -= m_models[model].bytes;
         }
-        site.held.push_back( model );
-        site.places.push_back( std::move( places ) );
-        site.load += loadPerCopy( model );
+        state.held.push_back( model );
+        state.placements.push_back( std::move( placements ) );
+        state.load += loadPerCopy( model );
         ++m_copies[model];
     }
 
-    void take( Site& site, ModelIndex model ) {
-        dropFrom( site, model );
-        site.load -= loadPerCopy( model );
+    void removeCopy( AgentState& state, ModelIndex model ) {
+        removeFrom( state, model );
+        state.load -= loadPerCopy( model );
         --m_copies[model];
     }
 
@@ -143,58 +146,60 @@
         return it.rate * it.serviceSeconds / std::max( 1.0, static_cast<double>( it.replicas ) );
     }
 
-    //! Share of the model's requests that so many copies answer within target.
-    double attained( ModelIndex model, std::uint32_t copies ) const {
+    //! Share of the model's requests that `copies` copies answer within target.
+    double attainedShare( ModelIndex model, std::uint32_t copies ) const {
         const auto& it = m_models[model];
         const double parallel = it.rate * it.serviceSeconds;
-        const double places = copies * m_rules.placesPerCopy * m_rules.fill;
+        const double parallelCapacity =
+            copies * m_rules.requestsPerCopy * m_rules.plannedUtilisation;
         if( copies == 0 ) {
             return 0;
         }
-        return parallel <= places ? 1 : places / parallel;
+        return parallel <= parallelCapacity ? 1 : parallelCapacity / parallel;
     }
 
-    //! What the copy that makes it `copies` gains over the horizon.
-    double worth( ModelIndex model, std::uint32_t copies ) const {
+    //! Value over the horizon of the last of `copies` copies.
+    double copyValue( ModelIndex model, std::uint32_t copies ) const {
         const auto& it = m_models[model];
-        const double gain = attained( model, copies ) - attained( model, copies - 1 );
+        const double gain = attainedShare( model, copies ) - attainedShare( model, copies - 1 );
         const double weight = 1 + priorityShare * it.priority;
         double out = gain * it.rate * m_rules.horizonSeconds * weight * m_rules.weights.attainment;
         if( copies == 1 ) {
-            // The largest first: small ones still fit into what is left.
-            out += firstCopyWorth *
+            // The largest models are placed first, as small ones still fit into the remaining
+            // memory.
+            out += firstCopyValue *
                    ( 1 + static_cast<double>( it.bytes ) * it.accelerators / m_largest );
         } else if( copies <= it.replicas ) {
-            out += replicaWorth;
+            out += replicaValue;
         }
         return out;
     }
 
     double moveCost() const { return m_rules.weights.moves; }
 
-    bool holds( const Site& site, ModelIndex model ) const {
-        return std::find( site.held.begin(), site.held.end(), model ) != site.held.end();
+    bool holds( const AgentState& state, ModelIndex model ) const {
+        return std::find( state.held.begin(), state.held.end(), model ) != state.held.end();
     }
 
     void addCopies() {
         std::priority_queue<Candidate> queue;
         for( ModelIndex n = 0; n < m_models.size(); ++n ) {
-            queue.push( { worth( n, m_copies[n] + 1 ), n } );
+            queue.push( { copyValue( n, m_copies[n] + 1 ), n } );
         }
         while( !queue.empty() && m_moves < m_rules.moveBudget ) {
             const auto best = queue.top();
             queue.pop();
-            if( best.worth <= moveCost() ) {
+            if( best.copyValue <= moveCost() ) {
                 return;
             }
-            // Evictions may have changed what the next copy is worth.
-            const double now = worth( best.model, m_copies[best.model] + 1 );
-            if( now < best.worth ) {
+            // Evictions may have changed the value of the next copy.
+            const double now = copyValue( best.model, m_copies[best.model] + 1 );
+            if( now < best.copyValue ) {
                 queue.push( { now, best.model } );
                 continue;
             }
             if( addCopy( best.model, now ) ) {
-                queue.push( { worth( best.model, m_copies[best.model] + 1 ), best.model } );
+                queue.push( { copyValue( best.model, m_copies[best.model] + 1 ), best.model } );
             }
         }
     }
@@ -202,48 +207,48 @@
     //! Copies of the model in a hall.
     std::uint32_t copiesIn( const std::string& hall, ModelIndex model ) const {
         return static_cast<std::uint32_t>(
-            std::count_if( m_sites.begin(), m_sites.end(), [&]( const Site& it ) {
+            std::count_if( m_states.begin(), m_states.end(), [&]( const AgentState& it ) {
                 return it.input->hall == hall && holds( it, model );
             } ) );
     }
 
     bool addCopy( ModelIndex model, double gain ) {
-        Site* best = bestWithRoom( model );
+        AgentState* best = bestWithFreeMemory( model );
         if( best != nullptr ) {
-            put( *best, model );
+            placeCopy( *best, model );
             ++m_moves;
-            note( model, *best, "a copy is added: worth " + number( gain ) );
+            addReason( model, *best, "a copy is added: worth " + formatValue( gain ) );
             return true;
         }
         return addByEviction( model, gain );
     }
 
-    //! Room that stays on the accelerators a copy would take.
-    std::uint64_t leftOver( const Site& site, ModelIndex model ) const {
+    //! Bytes that remain free on the accelerators that a copy would use.
+    std::uint64_t freeBytesLeft( const AgentState& state, ModelIndex model ) const {
         std::uint64_t out = 0;
-        for( const auto it : roomFor( site, model ) ) {
-            out += site.free[it] - m_models[model].bytes;
+        for( const auto it : placementFor( state, model ) ) {
+            out += state.free[it] - m_models[model].bytes;
         }
         return out;
     }
 
-    Site* bestWithRoom( ModelIndex model ) {
-        Site* best = nullptr;
+    AgentState* bestWithFreeMemory( ModelIndex model ) {
+        AgentState* best = nullptr;
         double bestRank = std::numeric_limits<double>::max();
         std::unordered_map<std::string, std::uint32_t> byHall;
-        for( auto& it : m_sites ) {
-            if( holds( it, model ) || roomFor( it, model ).empty() ) {
+        for( auto& it : m_states ) {
+            if( holds( it, model ) || placementFor( it, model ).empty() ) {
                 continue;
             }
-            auto [hall, fresh] = byHall.try_emplace( it.input->hall, 0U );
-            if( fresh ) {
+            auto [hall, inserted] = byHall.try_emplace( it.input->hall, 0U );
+            if( inserted ) {
                 hall->second = copiesIn( it.input->hall, model );
             }
             constexpr double hallWeight = 1e6;
-            // A first copy goes where it leaves the least room over, a further one where it is
-            // calm.
+            // The first copy goes where it leaves the least free memory, a further copy to the hall
+            // with the fewest copies and there to the agent with the least load.
             const double rank = m_copies[model] == 0
-                                    ? static_cast<double>( leftOver( it, model ) ) / m_largest
+                                    ? static_cast<double>( freeBytesLeft( it, model ) ) / m_largest
                                     : hallWeight * hall->second + it.load;
             if( rank < bestRank ) {
                 bestRank = rank;
@@ -254,10 +259,10 @@
     }
 
     bool addByEviction( ModelIndex model, double gain ) {
-        Site* best = nullptr;
+        AgentState* best = nullptr;
         Eviction bestEviction;
         bestEviction.loss = gain;
-        for( auto& it : m_sites ) {
+        for( auto& it : m_states ) {
             if( holds( it, model ) || it.free.size() < m_models[model].accelerators ) {
                 continue;
             }
@@ -270,41 +275,42 @@
             return false;
         }
         for( const auto victim : bestEviction.victims ) {
-            take( *best, victim );
+            removeCopy( *best, victim );
             ++m_moves;
-            note( victim, *best, "its copy goes for " + m_models[model].name );
+            addReason( victim, *best, "its copy goes for " + m_models[model].name );
         }
-        put( *best, model );
+        placeCopy( *best, model );
         ++m_moves;
-        note( model, *best, "a copy is added in their place: worth " + number( gain ) );
+        addReason( model, *best, "a copy is added in their place: worth " + formatValue( gain ) );
         return true;
     }
 
-    //! The least valuable copies that make room, when they lose less than `bound` in all.
-    std::optional<Eviction> cheapestEviction( const Site& site, ModelIndex model,
+    //! The least valuable copies whose eviction frees enough memory; empty when the total loss,
+    //! moves included, is not less than `bound`.
+    std::optional<Eviction> cheapestEviction( const AgentState& state, ModelIndex model,
                                               double bound ) const {
-        Site trial = site;
+        AgentState trial = state;
         Eviction out;
         out.loss = moveCost();
         std::vector<std::uint32_t> gone( m_models.size(), 0 );
-        while( roomFor( trial, model ).empty() ) {
+        while( placementFor( trial, model ).empty() ) {
             std::optional<ModelIndex> victim;
-            double least = bound;
+            double leastLoss = bound;
             for( const auto it : trial.held ) {
-                // The last copy of a model never goes for a better plan.
+                // The last copy of a model is never evicted.
                 const double loss = m_copies[it] <= 1 ? std::numeric_limits<double>::max()
-                                                      : worth( it, m_copies[it] );
-                if( loss < least ) {
-                    least = loss;
+                                                      : copyValue( it, m_copies[it] );
+                if( loss < leastLoss ) {
+                    leastLoss = loss;
                     victim = it;
                 }
             }
             if( !victim ) {
                 return std::nullopt;
             }
-            dropFrom( trial, *victim );
+            removeFrom( trial, *victim );
             out.victims.push_back( *victim );
-            out.loss += least + moveCost();
+            out.loss += leastLoss + moveCost();
             if( out.loss >= bound ) {
                 return std::nullopt;
             }
@@ -312,28 +318,28 @@
         return out;
     }
 
-    void dropFrom( Site& site, ModelIndex model ) const {
-        const auto at = std::find( site.held.begin(), site.held.end(), model );
-        const auto n = static_cast<std::size_t>( at - site.held.begin() );
-        for( const auto it : site.places[n] ) {
-            site.free[it] += m_models[model].bytes;
+    void removeFrom( AgentState& state, ModelIndex model ) const {
+        const auto at = std::find( state.held.begin(), state.held.end(), model );
+        const auto n = static_cast<std::size_t>( at - state.held.begin() );
+        for( const auto it : state.placements[n] ) {
+            state.free[it] += m_models[model].bytes;
         }
-        site.held.erase( at );
-        site.places.erase( site.places.begin() + static_cast<std::ptrdiff_t>( n ) );
+        state.held.erase( at );
+        state.placements.erase( state.placements.begin() + static_cast<std::ptrdiff_t>( n ) );
     }
 
-    static std::string number( double value ) {
-        return value >= replicaWorth ? "a replica" : std::to_string( std::lround( value ) );
+    static std::string formatValue( double value ) {
+        return value >= replicaValue ? "a replica" : std::to_string( std::lround( value ) );
     }
 
-    void note( ModelIndex model, const Site& site, std::string text ) {
-        m_reasons.push_back( { m_models[model].name, site.input->vm, std::move( text ) } );
+    void addReason( ModelIndex model, const AgentState& state, std::string text ) {
+        m_reasons.push_back( { m_models[model].name, state.input->vm, std::move( text ) } );
     }
 
     std::span<const ModelInput> m_models;
     const PlanRules& m_rules;
     std::unordered_map<std::string, ModelIndex> m_index;
-    std::vector<Site> m_sites;
+    std::vector<AgentState> m_states;
     std::vector<std::uint32_t> m_copies;
     std::vector<PlanReason> m_reasons;
     std::uint32_t m_moves = 0;
--- a/src/router/admission.cpp
+++ b/src/router/admission.cpp
@@ -6,8 +6,8 @@
 namespace coursehead::router {
 
 namespace {
-constexpr Millis leastRetryAfter{ 100 };
-constexpr Millis mostRetryAfter{ 30000 };
+constexpr Millis minRetryAfter{ 100 };
+constexpr Millis maxRetryAfter{ 30000 };
 constexpr int highestPriority = 9;
 } // namespace
 
@@ -19,23 +19,23 @@
     return queue.serviceTime * ( queue.queued + 1 ) / capacity;
 }
 
-Admission admit( const QueueView& queue, int priority, Millis patience ) {
+Admission admit( const QueueView& queue, int priority, Millis maxWait ) {
     if( queue.running < queue.capacity && queue.queued == 0 ) {
         return { true, Millis{ 0 } };
     }
     const auto wait = expectedWait( queue );
     const auto rank = static_cast<std::uint32_t>( std::clamp( priority, 0, highestPriority ) );
-    // Priority 0 may fill half of the queue, the highest all of it.
+    // Priority 0 may fill half of the queue, the highest priority all of it.
     const auto limit = queue.queueLimit / 2 + queue.queueLimit * rank / ( 2 * highestPriority );
-    if( queue.queued < limit && wait < patience ) {
+    if( queue.queued < limit && wait < maxWait ) {
         return { true, Millis{ 0 } };
     }
-    return { false, std::clamp( wait, leastRetryAfter, mostRetryAfter ) };
+    return { false, std::clamp( wait, minRetryAfter, maxRetryAfter ) };
 }
 
-Millis smooth( Millis before, Millis sample ) {
+Millis smooth( Millis previous, Millis sample ) {
     constexpr int weight = 8;
-    return before.count() == 0 ? sample : ( before * ( weight - 1 ) + sample ) / weight;
+    return previous.count() == 0 ? sample : ( previous * ( weight - 1 ) + sample ) / weight;
 }
 
 } // namespace coursehead::router
--- a/src/router/route.cpp
+++ b/src/router/route.cpp
@@ -25,16 +25,17 @@
     return candidate.reachable && !candidate.leaving && !candidate.excluded;
 }
 
-//! The warm candidate that most likely holds the prompt's prefix: the same for every entry.
-std::size_t prefixHome( std::span<const Candidate> candidates, std::span<const std::size_t> warm,
-                        std::uint64_t prefixHash ) {
+//! The warm candidate that most likely has the prompt's prefix cached, by rendezvous hashing, so
+//! that every entry picks the same one.
+std::size_t likelyPrefixHolder( std::span<const Candidate> candidates,
+                                std::span<const std::size_t> warm, std::uint64_t prefixHash ) {
     const auto text = std::to_string( prefixHash );
     std::size_t best = warm.front();
     std::uint64_t bestHash = 0;
     for( const auto it : warm ) {
-        const auto h = hash64( candidates[it].vm, text );
-        if( h >= bestHash ) {
-            bestHash = h;
+        const auto hash = hash64( candidates[it].vm, text );
+        if( hash >= bestHash ) {
+            bestHash = hash;
             best = it;
         }
     }
@@ -44,35 +45,37 @@
 struct Scorer {
     std::span<const Candidate> candidates;
     const RoutingRules& rules;
-    std::optional<std::size_t> home;
+    std::optional<std::size_t> prefixHolder;
 
     double operator()( std::size_t index ) const {
         const auto& it = candidates[index];
-        const double gain = home && *home == index ? rules.affinityGain : 0.0;
+        const double gain = prefixHolder && *prefixHolder == index ? rules.affinityGain : 0.0;
         return loadShare( it ) + distanceCost( it.distance, rules ) - gain;
     }
 };
 
-std::size_t better( const Scorer& score, std::size_t a, std::size_t b ) {
+std::size_t cheaper( const Scorer& score, std::size_t a, std::size_t b ) {
     return score( b ) < score( a ) ? b : a;
 }
 
 std::size_t pickWarm( std::span<const std::size_t> warm, const Scorer& score,
-                      const RoutingRules& rules, const Dice& dice ) {
+                      const RoutingRules& rules, const Dice& randomBelow ) {
     std::size_t best = warm.front();
     if( rules.twoChoices ) {
-        const auto first = dice( warm.size() );
+        const auto first = randomBelow( warm.size() );
         const auto second =
-            warm.size() > 1 ? ( first + 1 + dice( warm.size() - 1 ) ) % warm.size() : first;
-        best = better( score, warm[first], warm[second] );
+            warm.size() > 1 ? ( first + 1 + randomBelow( warm.size() - 1 ) ) % warm.size() : first;
+        best = cheaper( score, warm[first], warm[second] );
     }
-    if( score.home && loadShare( score.candidates[*score.home] ) < rules.affinityUpTo ) {
-        best = better( score, best, *score.home );
+    if( score.prefixHolder &&
+        loadShare( score.candidates[*score.prefixHolder] ) < rules.affinityMaxLoad ) {
+        best = cheaper( score, best, *score.prefixHolder );
     }
-    // Two choices spread well while there is room; when both are busy a third may have some left.
+    // Two random choices spread load well while agents have free capacity. When the better of the
+    // two is busy, another agent may still have some, so all are compared.
     if( !rules.twoChoices || loadShare( score.candidates[best] ) >= rules.busyAt ) {
         for( const auto it : warm ) {
-            best = better( score, best, it );
+            best = cheaper( score, best, it );
         }
     }
     return best;
@@ -83,9 +86,9 @@
     std::optional<std::size_t> best;
     const auto rank = [&]( const Candidate& it ) {
         constexpr double loadingRank = 1e18;
-        const double room = static_cast<double>( it.freeBytes );
+        const double free = static_cast<double>( it.freeBytes );
         const double discount = 1.0 + loadShare( it ) + distanceCost( it.distance, rules );
-        return it.loading ? loadingRank - discount : room / discount - discount;
+        return it.loading ? loadingRank - discount : free / discount - discount;
     };
     for( std::size_t n = 0; n < candidates.size(); ++n ) {
         const auto& it = candidates[n];
@@ -107,16 +110,16 @@
 }
 
 Route route( std::span<const Candidate> candidates, std::uint64_t prefixHash,
-             const RoutingRules& rules, const Dice& dice ) {
+             const RoutingRules& rules, const Dice& randomBelow ) {
     std::vector<std::size_t> warm;
-    bool sawFull = false;
+    bool anyFull = false;
     for( std::size_t n = 0; n < candidates.size(); ++n ) {
         const auto& it = candidates[n];
         if( !usable( it ) || !it.resident ) {
             continue;
         }
         if( loadShare( it ) >= rules.fullAt ) {
-            sawFull = true;
+            anyFull = true;
             continue;
         }
         warm.push_back( n );
@@ -124,11 +127,11 @@
     if( !warm.empty() ) {
         Scorer score{ candidates, rules, std::nullopt };
         if( rules.affinity && prefixHash != 0 ) {
-            score.home = prefixHome( candidates, warm, prefixHash );
+            score.prefixHolder = likelyPrefixHolder( candidates, warm, prefixHash );
         }
-        return { RouteKind::warm, pickWarm( warm, score, rules, dice ) };
+        return { RouteKind::warm, pickWarm( warm, score, rules, randomBelow ) };
     }
-    if( sawFull ) {
+    if( anyFull ) {
         return { RouteKind::full, 0 };
     }
     const auto cold = pickCold( candidates, rules );
--- a/tests/unit/planner.tests.cpp
+++ b/tests/unit/planner.tests.cpp
@@ -17,9 +17,9 @@
     return { vm, hall, 1, 100, true, std::move( models ) };
 }
 
-std::size_t copies( const Plan& made, const std::string& model ) {
+std::size_t copies( const Plan& result, const std::string& model ) {
     return static_cast<std::size_t>(
-        std::count_if( made.agents.begin(), made.agents.end(), [&]( const auto& it ) {
+        std::count_if( result.agents.begin(), result.agents.end(), [&]( const auto& it ) {
             return std::find( it.models.begin(), it.models.end(), model ) != it.models.end();
         } ) );
 }
@@ -30,12 +30,12 @@
     const std::vector<AgentInput> agents{ agent( "a", "h1" ), agent( "b", "h1" ),
                                           agent( "c", "h2" ) };
     const std::vector<ModelInput> models{ { "m", 60, 1, 2 }, { "n", 30, 1, 1 } };
-    const auto made = plan( agents, models, {} );
-    CHECK( copies( made, "m" ) == 2 );
-    CHECK( copies( made, "n" ) == 1 );
-    CHECK( std::find( made.agents[2].models.begin(), made.agents[2].models.end(), "m" ) !=
-           made.agents[2].models.end() );
-    CHECK( made.moves == 3 );
+    const auto result = plan( agents, models, {} );
+    CHECK( copies( result, "m" ) == 2 );
+    CHECK( copies( result, "n" ) == 1 );
+    CHECK( std::find( result.agents[2].models.begin(), result.agents[2].models.end(), "m" ) !=
+           result.agents[2].models.end() );
+    CHECK( result.moves == 3 );
 }
 
 TEST_CASE( "A steady scene asks for no moves", "[planner]" ) {
@@ -61,22 +61,23 @@
                                           agent( "b", "h2", { "rare" } ) };
     const std::vector<ModelInput> models{ { "hot", 80, 1, 1, 100.0, 2.0 },
                                           { "rare", 80, 1, 1, 0 } };
-    const auto made = plan( agents, models, {} );
-    CHECK( copies( made, "rare" ) == 1 );
-    CHECK( made.moves == 0 );
+    const auto result = plan( agents, models, {} );
+    CHECK( copies( result, "rare" ) == 1 );
+    CHECK( result.moves == 0 );
 }
 
 TEST_CASE( "A plan never asks an agent for more than it holds", "[planner][property]" ) {
     rc::prop( "any agents, models and demand", [] {
         const auto numbers = fleet::draws( 200 );
-        std::size_t at = 0;
-        const auto take = [&]( std::uint32_t bound ) {
-            return numbers[at++ % 200] % bound;
+        std::size_t position = 0;
+        const auto nextNumber = [&]( std::uint32_t bound ) {
+            return numbers[position++ % 200] % bound;
         };
         std::vector<ModelInput> models;
         for( int n = 0; n < 12; ++n ) {
-            models.push_back( { "m" + std::to_string( n ), 10 + take( 50 ), 1 + take( 2 ),
-                                take( 4 ), take( 100 ) / 10.0, 2.0, 0 } );
+            models.push_back( { "m" + std::to_string( n ), 10 + nextNumber( 50 ),
+                                1 + nextNumber( 2 ), nextNumber( 4 ), nextNumber( 100 ) / 10.0, 2.0,
+                                0 } );
         }
         std::vector<AgentInput> agents;
         for( int n = 0; n < 6; ++n ) {
@@ -84,26 +85,26 @@
                                 "h" + std::to_string( n % 2 ),
                                 2,
                                 100,
-                                take( 5 ) != 0,
+                                nextNumber( 5 ) != 0,
                                 {} } );
         }
         std::uint32_t moves = 1;
         for( int round = 0; round < 8 && moves > 0; ++round ) {
-            const auto made = plan( agents, models, {} );
-            moves = made.moves;
+            const auto result = plan( agents, models, {} );
+            moves = result.moves;
             RC_ASSERT( moves <= PlanRules{}.moveBudget + 8 );
             for( std::size_t n = 0; n < agents.size(); ++n ) {
                 std::uint64_t bytes = 0;
-                for( const auto& name : made.agents[n].models ) {
+                for( const auto& name : result.agents[n].models ) {
                     const auto& model = models[std::stoul( name.substr( 1 ) )];
                     bytes += model.bytes * model.accelerators;
                 }
                 RC_ASSERT( bytes <= 200U );
-                RC_ASSERT( agents[n].usable || made.agents[n].models.empty() );
-                agents[n].models = made.agents[n].models;
+                RC_ASSERT( agents[n].usable || result.agents[n].models.empty() );
+                agents[n].models = result.agents[n].models;
             }
         }
-        // It comes to rest.
+        // Repeated planning converges: the last plan needs no moves.
         RC_ASSERT( moves == 0U );
     } );
 }
