--- a/src/gateway/send.cpp
+++ b/src/gateway/send.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using platform::AnswerClass;
+using platform::ResponseClass;
 
 constexpr unsigned firstNonSuccessStatus = 300;
 constexpr unsigned firstServerError = 500;
@@ -70,7 +70,7 @@
         head.urgency = urgency();
     }
     head.lastEventId = m_lastEvent;
-    const auto systemFields = platform::takeSendHead( head, fields );
+    const auto systemFields = platform::makeSendHeaders( head, fields );
     std::string out = m_request.method + " " + m_request.target + " HTTP/1.1\r\n";
     appendForwarded( out, fields );
     appendForwarded( out, systemFields );
@@ -223,9 +223,9 @@
     }
     node.lastReceivedAt = MonoClock::now();
     const auto status = parser.get().result_int();
-    transfer.head = platform::readAnswerHead( status, parser.get() );
+    transfer.head = platform::readResponseHead( status, parser.get() );
     noteAnnouncement( transfer );
-    const bool ran = transfer.head.answerClass == AnswerClass::complete;
+    const bool ran = transfer.head.responseClass == ResponseClass::complete;
     if( ran && transfer.head.requestId != m_request.head.requestId ) {
         // The answer belongs to an earlier request: the connection can't be trusted any more.
         out.failure = "answer to another request";
@@ -243,9 +243,9 @@
 void Exchange::noteAnnouncement( const Transfer& transfer ) {
     const auto& head = transfer.head;
     Node& node = transfer.node;
-    if( !head.badField.empty() ) {
+    if( !head.unreadableField.empty() ) {
         log::warn( "announcement_unreadable",
-                   { { "upstream", node.upstream.id }, { "field", head.badField } } );
+                   { { "upstream", node.upstream.id }, { "field", head.unreadableField } } );
     }
     const bool fromAnotherUpstream =
         !head.actualUpstream.empty() && head.actualUpstream != node.upstream.id;
@@ -360,12 +360,12 @@
 
 net::Task<Exchange::SendResult> Exchange::receiveBuffered( Transfer& transfer ) {
     SendResult out;
-    auto whole = transfer.answerHead();
+    auto buffered = transfer.answerHead();
     bool complete = transfer.parser.is_done();
     while( !complete ) {
         const auto [bytes, ec] = co_await transfer.readBody();
-        whole.body.append( bytes );
-        if( ec || whole.body.size() > maxBufferedAnswerBytes ) {
+        buffered.body.append( bytes );
+        if( ec || buffered.body.size() > maxBufferedAnswerBytes ) {
             out.failure = ec ? ec.message() : "answer too large";
             break;
         }
@@ -377,23 +377,23 @@
     if( !head.actualUpstream.empty() && head.actualUpstream != transfer.node.upstream.id ) {
         transfer.node.replaced = true;
     }
-    if( head.answerClass != AnswerClass::complete ) {
+    if( head.responseClass != ResponseClass::complete ) {
         out.end = SendOutcome::notRun;
-        out.failure = "status " + std::to_string( whole.status );
+        out.failure = "status " + std::to_string( buffered.status );
         co_return out;
     }
     if( !complete ) {
         out.end = late ? SendOutcome::stopped : SendOutcome::lost;
-        out.connectionBroke = !late && whole.body.size() <= maxBufferedAnswerBytes;
+        out.connectionBroke = !late && buffered.body.size() <= maxBufferedAnswerBytes;
         co_return out;
     }
-    if( !head.sealed && whole.status < firstNonSuccessStatus ) {
+    if( !head.sealed && buffered.status < firstNonSuccessStatus ) {
         out.failure = "unsigned answer";
         co_return out;
     }
-    out.end = outcomeOfAnswer( transfer, whole.status );
-    out.failure = "status " + std::to_string( whole.status );
-    m_answer = std::move( whole );
+    out.end = outcomeOfAnswer( transfer, buffered.status );
+    out.failure = "status " + std::to_string( buffered.status );
+    m_answer = std::move( buffered );
     co_return out;
 }
 
--- a/src/sidecar/admission.hpp
+++ b/src/sidecar/admission.hpp
@@ -5,8 +5,8 @@
 #include "decide/cold_gate.hpp"
 #include "decide/event_pace.hpp"
 #include "net/net.hpp"
+#include "sidecar/pending_ensure.hpp"
 #include "sidecar/prompt_gate.hpp"
-#include "sidecar/question.hpp"
 
 #include <cstdint>
 #include <functional>
@@ -25,8 +25,8 @@
         std::function<void( const PendingEnsure& ensure, gateway::EnsureOutcome outcome,
                             Millis wait, double workMs )>
             answer;
-        std::function<void( PendingEnsure ensure )>
-            notResident; //!< its model or adapter was unloaded
+        //! The ensure's model or adapter was unloaded.
+        std::function<void( PendingEnsure ensure )> notResident;
         std::function<void( const PendingEnsure& ensure )> admitted; //!< its prompt is admitted now
     };
 
--- a/tests/promise/memory.tests.cpp
+++ b/tests/promise/memory.tests.cpp
@@ -135,8 +135,8 @@
         m_protocol.checksOrders = m_engine.checks;
         m_protocol.lateness = m_engine.checks ? Millis( 0 ) : orderLateness;
         m_protocol.reportInterval = Millis( 30 );
-        m_protocol.began = m_now;
-        reportRead( m_protocol, m_engine.items, m_now );
+        m_protocol.startedAt = m_now;
+        processReport( m_protocol, m_engine.items, m_now );
     }
 
     void drawWanted() {
@@ -174,25 +174,25 @@
         switch( next.kind ) {
         case InstructionKind::takeEpoch:
             if( m_faultsEnded || drawBelow( 3 ) != 0 ) {
-                epochTaken( m_protocol, ++m_epochs );
+                startEpoch( m_protocol, ++m_epochs );
             }
             return;
         case InstructionKind::fence:
             if( m_engine.admit( m_protocol.epoch, next.number ) &&
                 ( m_faultsEnded || drawBelow( 4 ) != 0 ) ) {
-                fenceDone( m_protocol );
+                fenceAcknowledged( m_protocol );
             } else {
-                reportRead( m_protocol, m_engine.items, m_now );
+                processReport( m_protocol, m_engine.items, m_now );
             }
             return;
         case InstructionKind::readReport:
             if( m_faultsEnded || drawBelow( 4 ) != 0 ) {
-                reportRead( m_protocol, m_engine.items, m_now );
+                processReport( m_protocol, m_engine.items, m_now );
             }
             return;
         case InstructionKind::wait:
             // The agent reads a report while it waits; this report must not settle any order.
-            reportRead( m_protocol, m_engine.items, m_now );
+            processReport( m_protocol, m_engine.items, m_now );
             return;
         case InstructionKind::idle:
             return;
@@ -299,7 +299,7 @@
     fleet.agent( "a", engine.url, agentOptions );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig( checks ) );
+    fleet::Fleet::require( entry, fleet::defaultConfig( checks ) );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model n memory=900MiB" );
     // The first load reaches the engine late, after the agent that sent the order has been killed.
@@ -325,7 +325,7 @@
     fleet.agent( "a", engine.url, { "--min-residency-ms", "0" } );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig() );
+    fleet::Fleet::require( entry, fleet::defaultConfig() );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model big memory=550MiB" );
     CHECK( fleet::streamCall( entry.url, fleet::chatBody( "m", "1", 4 ) ).done );
@@ -350,7 +350,7 @@
     fleet.agent( "a", engine.url, { "--min-residency-ms", "0" } );
     auto& entry = fleet.entry( "entry" );
     fleet.waitForAgents( entry, 1 );
-    fleet::Fleet::require( entry, fleet::usualConfig( checks ) );
+    fleet::Fleet::require( entry, fleet::defaultConfig( checks ) );
     fleet::Fleet::waitForOrders( entry, 1 );
     fleet::Fleet::require( entry, "create model n memory=800MiB" );
     for( const char* fault :
